--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -10,8 +10,8 @@
 use hashbrown::HashMap;
 use nickeljunction_consensus::Envelope;
 use nickeljunction_messages::{
-    ClaimAnswer, ClaimCall, EbbAnswer, EbbCall, Elsewhere, GatewayLine, OperationId, UnitsAnswer, UnitsCall,
-    WatchAnswer, WatchCall,
+    ClaimAnswer, ClaimCall, GatewayInfo, LeaderRedirect, OperationId, PaceSharesAnswer, PaceSharesCall,
+    UnitsAnswer, UnitsCall, WatchAnswer, WatchCall,
 };
 use nickeljunction_net::wheel::Wheel;
 use nickeljunction_registry::{Applied, Beat, Copy, Refused};
@@ -214,7 +214,10 @@
     ///
     /// # Errors
     /// It leads no more.
-    pub async fn read<R>(&self, look: impl FnOnce(u64, &serde_json::Value) -> R) -> Result<R, Elsewhere> {
+    pub async fn read<R>(
+        &self,
+        look: impl FnOnce(u64, &serde_json::Value) -> R,
+    ) -> Result<R, LeaderRedirect> {
         match self.wait(|house, now| house.read(now)).await {
             Answer::Confirmed => {
                 let house = self.house.borrow();
@@ -277,7 +280,7 @@
     ///
     /// # Errors
     /// See above; also where a new gateway can't be put on the log.
-    pub async fn units(&self, call: &UnitsCall) -> Result<UnitsAnswer, Elsewhere> {
+    pub async fn units(&self, call: &UnitsCall) -> Result<UnitsAnswer, LeaderRedirect> {
         let (done, told) = oneshot::channel();
         let lent = self.turn(|house, now| {
             let lent = house.units(now, call);
@@ -304,7 +307,7 @@
     ///
     /// # Errors
     /// See above.
-    pub async fn claim(&self, call: &ClaimCall) -> Result<Option<ClaimAnswer>, Elsewhere> {
+    pub async fn claim(&self, call: &ClaimCall) -> Result<Option<ClaimAnswer>, LeaderRedirect> {
         let (done, told) = oneshot::channel();
         let claimed = self.turn(|house, now| {
             let claimed = house.claim(now, call);
@@ -334,7 +337,7 @@
     ///
     /// # Errors
     /// See above.
-    pub fn ebb(&self, call: &EbbCall) -> Result<EbbAnswer, Elsewhere> {
+    pub fn ebb(&self, call: &PaceSharesCall) -> Result<PaceSharesAnswer, LeaderRedirect> {
         self.turn(|house, now| house.ebb(now, call))
     }
 
@@ -342,7 +345,7 @@
     ///
     /// # Errors
     /// See above, as in all of these.
-    pub fn called(&self, call: &WatchCall) -> Result<Held, Elsewhere> {
+    pub fn called(&self, call: &WatchCall) -> Result<Held, LeaderRedirect> {
         self.turn(|house, now| house.called(now, call))
     }
 
@@ -350,7 +353,7 @@
     ///
     /// # Errors
     /// See above.
-    pub fn watch(&self, call: &WatchCall, held: &Held) -> Result<Option<WatchAnswer>, Elsewhere> {
+    pub fn watch(&self, call: &WatchCall, held: &Held) -> Result<Option<WatchAnswer>, LeaderRedirect> {
         self.turn(|house, now| house.watch(now, call, held))
     }
 
@@ -363,7 +366,7 @@
     ///
     /// # Errors
     /// See above.
-    pub fn beat(&self, id: &str, beat: &Beat) -> Result<Option<Round>, Elsewhere> {
+    pub fn beat(&self, id: &str, beat: &Beat) -> Result<Option<Round>, LeaderRedirect> {
         self.turn(|house, now| house.beat(now, id, beat))
     }
 
@@ -371,7 +374,7 @@
     ///
     /// # Errors
     /// See above.
-    pub fn gone(&self, id: &str) -> Result<Round, Elsewhere> {
+    pub fn gone(&self, id: &str) -> Result<Round, LeaderRedirect> {
         self.turn(|house, now| house.gone(now, id))
     }
 
@@ -379,7 +382,7 @@
     ///
     /// # Errors
     /// See above.
-    pub async fn come_round(&self, round: &Round) -> Result<(), Elsewhere> {
+    pub async fn come_round(&self, round: &Round) -> Result<(), LeaderRedirect> {
         loop {
             let changed = self.changed.notified();
             if self.turn(|house, now| house.come_round(now, round))? {
@@ -393,7 +396,7 @@
     // ---- For followers ----
 
     /// Who leads, as far as is known here; never this machine.
-    pub fn elsewhere(&self) -> Elsewhere {
+    pub fn elsewhere(&self) -> LeaderRedirect {
         self.house.borrow().elsewhere()
     }
 
@@ -414,7 +417,7 @@
     // ---- For everyone ----
 
     /// All gateways, as far as is known here.
-    pub fn roster(&self) -> Rc<Vec<GatewayLine>> {
+    pub fn roster(&self) -> Rc<Vec<GatewayInfo>> {
         self.house.borrow().roster()
     }
 
--- a/crates/controller/src/driver/metrics.rs
+++ b/crates/controller/src/driver/metrics.rs
@@ -87,7 +87,7 @@
             page.value(&[("answer", answer)], count as f64);
         }
         let house = self.house.borrow();
-        let remembered = house.state().operations().operations();
+        let remembered = house.state().operations().operation_count();
         let help = "Keyed operations that are claimed in the state.";
         page.one("controller_operations_remembered", Kind::Gauge, help, remembered as f64);
     }
--- a/crates/controller/src/hint.rs
+++ b/crates/controller/src/hint.rs
@@ -101,10 +101,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use nickeljunction_messages::{ServerLine, ServerState};
+    use nickeljunction_messages::{ServerInfo, ServerState};
 
     fn copy() -> Copy {
-        let line = ServerLine {
+        let line = ServerInfo {
             id: "i-1".into(),
             backend: "b".into(),
             address: "10.0.0.1:80".into(),
@@ -114,8 +114,13 @@
             cold: None,
         };
         let mut copy = Copy::new();
-        let answer =
-            WatchAnswer { term: 3, seq: 9, whole: true, servers: vec![line], ..WatchAnswer::default() };
+        let answer = WatchAnswer {
+            term: 3,
+            seq: 9,
+            is_full_list: true,
+            servers: vec![line],
+            ..WatchAnswer::default()
+        };
         copy.apply(answer).expect("the first");
         copy
     }
--- a/crates/controller/src/resources/inner.rs
+++ b/crates/controller/src/resources/inner.rs
@@ -3,7 +3,7 @@
 use super::json;
 use crate::driver::Driver;
 use nickeljunction_consensus::Envelope;
-use nickeljunction_messages::{EbbCall, Elsewhere, UnitsCall, WatchAnswer, WatchCall};
+use nickeljunction_messages::{LeaderRedirect, PaceSharesCall, UnitsCall, WatchAnswer, WatchCall};
 use nickeljunction_net::compression::compressed;
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
 use nickeljunction_replica::Held as Hold;
@@ -21,7 +21,7 @@
     serde_json::from_slice(&call.body).map_err(|error| Response::error(400, &error.to_string()))
 }
 
-pub(super) fn misdirected(elsewhere: &Elsewhere) -> Response {
+pub(super) fn misdirected(elsewhere: &LeaderRedirect) -> Response {
     json(421, elsewhere)
 }
 
@@ -66,7 +66,7 @@
 impl Resource for Ebb {
     fn handle<'a>(&'a self, call: Call) -> Answering<'a> {
         Box::pin(async move {
-            let answer = read::<EbbCall>(&call).map(|call| self.0.ebb(&call));
+            let answer = read::<PaceSharesCall>(&call).map(|call| self.0.ebb(&call));
             match answer {
                 Ok(Ok(answer)) => json(200, &answer),
                 Ok(Err(elsewhere)) => misdirected(&elsewhere),
@@ -97,7 +97,7 @@
 
 impl Watch {
     /// Registers the call with this member's lead. Where nobody is known to lead it waits a while for somebody.
-    async fn called(&self, call: &WatchCall) -> Result<Hold, Elsewhere> {
+    async fn called(&self, call: &WatchCall) -> Result<Hold, LeaderRedirect> {
         let driver = &self.0;
         let unled = driver.now() + UNLED_MS;
         loop {
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn answer(&self, call: &WatchCall, held: &Hold) -> Result<WatchAnswer, Elsewhere> {
+    async fn answer(&self, call: &WatchCall, held: &Hold) -> Result<WatchAnswer, LeaderRedirect> {
         let driver = &self.0;
         loop {
             let changed = driver.changed.notified();
--- a/crates/controller/src/resources/instances.rs
+++ b/crates/controller/src/resources/instances.rs
@@ -2,7 +2,7 @@
 
 use super::{go_to, json, name_under, INSTANCES};
 use crate::driver::Driver;
-use nickeljunction_messages::{Elsewhere, ServerState};
+use nickeljunction_messages::{LeaderRedirect, ServerState};
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
 use nickeljunction_registry::Beat;
 use serde::Deserialize;
@@ -86,7 +86,7 @@
 }
 
 impl Instances {
-    async fn beat(&self, call: &Call, id: &str) -> Result<Response, Elsewhere> {
+    async fn beat(&self, call: &Call, id: &str) -> Result<Response, LeaderRedirect> {
         let beat = match read(&call.body) {
             Ok(beat) => beat,
             Err(error) => return Ok(Response::error(400, &error)),
@@ -99,7 +99,7 @@
         Ok(json(200, &serde_json::json!({ "heartbeat_target": target })))
     }
 
-    async fn leave(&self, id: &str) -> Result<Response, Elsewhere> {
+    async fn leave(&self, id: &str) -> Result<Response, LeaderRedirect> {
         let round = self.0.gone(id)?;
         self.0.come_round(&round).await?;
         Ok(Response::empty(200))
--- a/crates/controller/src/resources/mod.rs
+++ b/crates/controller/src/resources/mod.rs
@@ -10,7 +10,7 @@
 pub mod trials;
 
 use crate::driver::Driver;
-use nickeljunction_messages::Elsewhere;
+use nickeljunction_messages::LeaderRedirect;
 use nickeljunction_net::desk::{percent_decoded, Call, Response};
 use serde::Serialize;
 
@@ -33,7 +33,7 @@
 const SOON_S: &str = "0.3";
 
 /// Sends who called control on to the leader.
-pub(crate) fn go_to(driver: &Driver, call: &Call, elsewhere: &Elsewhere) -> Response {
+pub(crate) fn go_to(driver: &Driver, call: &Call, elsewhere: &LeaderRedirect) -> Response {
     match &elsewhere.leader {
         Some(host) => Response::redirect(format!("http://{host}:{}{}", driver.ports.control, call.target)),
         None => Response::error(503, "no leader is known here: ask another one").with("Retry-After", SOON_S),
--- a/crates/controller/src/resources/operations.rs
+++ b/crates/controller/src/resources/operations.rs
@@ -70,9 +70,9 @@
 pub(crate) fn standing(replica: &Replica, now: u64) -> Value {
     let table = replica.state().operations();
     json!({
-        "remembered": table.operations(),
-        "claims": table.records(),
-        "generations": table.open() + 1 - table.closed().start,
+        "remembered": table.operation_count(),
+        "claims": table.record_count(),
+        "generations": table.open_generation() + 1 - table.closed_generations().start,
         "oldest_closed_ms": replica.oldest_generation_age(now),
     })
 }
--- a/crates/controller/src/resources/operations/tests.rs
+++ b/crates/controller/src/resources/operations/tests.rs
@@ -4,7 +4,7 @@
 use nickeljunction_messages::{path, ClaimAnswer, Claimant, OperationId};
 
 fn claimant(number: u64) -> Claimant {
-    Claimant { host: [127, 0, 0, 9].into(), life: 5, number }
+    Claimant { host: [127, 0, 0, 9].into(), incarnation: 5, number }
 }
 
 fn posted(call: &ClaimCall) -> Call {
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -174,7 +174,7 @@
         .route(path::CONSENSUS, Rc::new(inner::Messages(driver.clone())))
         .route(path::WATCH, Rc::new(inner::Watch(driver.clone())))
         .route(path::CLAIM, Rc::new(operations::Claims(driver.clone())))
-        .route(path::EBB, Rc::new(inner::Ebb(driver.clone())))
+        .route(path::PACE_SHARES, Rc::new(inner::Ebb(driver.clone())))
         .route(path::UNITS, Rc::new(inner::Units(driver.clone())));
     let desks = vec![
         (listen("control", addresses.control).await?, Rc::new(control)),
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::standing::{Known, Life};
 use crate::status::table;
-use nickeljunction_messages::{ServerLine, ServerState};
+use nickeljunction_messages::{ServerInfo, ServerState};
 use nickeljunction_registry::{barred, Bar};
 use nickeljunction_routing::{at_home, near, priority, Found, Table, Tenant};
 use nickeljunction_schema::Config;
@@ -235,7 +235,7 @@
 
 /// Why no gateway, or none of the zone `here`, sends to a server.
 fn bar(known: &Known, id: &str, life: &Life, here: Option<(&str, &str)>) -> Option<String> {
-    let line = ServerLine {
+    let line = ServerInfo {
         id: id.to_string(),
         backend: life.service.clone(),
         address: life.address.clone(),
--- a/crates/ctl/src/trial.rs
+++ b/crates/ctl/src/trial.rs
@@ -4,7 +4,7 @@
 use crate::tour::Tour;
 use crate::wire::{Answer, Request};
 use crate::{Shown, Trouble};
-use nickeljunction_pacing::{Curve, Rank};
+use nickeljunction_pacing::{Rank, StageSchedule};
 use nickeljunction_schema::Config;
 use serde_json::{json, Value};
 use std::fmt::Write;
@@ -46,15 +46,15 @@
     if !config.tenants.contains_key(tenant) {
         return Err(unknown(tenant, &config.tenants.keys().cloned().collect::<Vec<_>>(), name));
     }
-    let curve = Curve::of(config, tenant);
+    let curve = StageSchedule::for_tenant(config, tenant);
     let mut lines = vec![["STAGE", "FROM", "WAIT", "READS", "PACE"].map(String::from)];
     let (mut from_s, mut stages) = (0.0, Vec::new());
-    for stage in 1..=curve.stages() {
-        let step = curve.step(stage);
-        let [wait, reads] = [Rank::First, Rank::Later].map(|rank| step.wait(rank) / 1_000.0);
-        let pace = Some(step.pace).filter(|pace| pace.is_finite());
+    for stage in 1..=curve.stage_count() {
+        let step = curve.effect(stage);
+        let [wait, reads] = [Rank::Deferrable, Rank::Interactive].map(|rank| step.wait_ms(rank) / 1_000.0);
+        let pace = Some(step.pace_per_s).filter(|pace| pace.is_finite());
         stages.push(
-            json!({"stage": stage, "from_s": from_s, "for_s": step.for_ms as f64 / 1_000.0, "wait_s": wait,
+            json!({"stage": stage, "from_s": from_s, "for_s": step.duration_ms as f64 / 1_000.0, "wait_s": wait,
             "read_wait_s": reads, "pace_per_s": pace}),
         );
         lines.push([
@@ -64,7 +64,7 @@
             format!("{reads} s"),
             pace.map_or("-".into(), |pace| format!("{pace:.1} a second")),
         ]);
-        from_s += step.for_ms as f64 / 1_000.0;
+        from_s += step.duration_ms as f64 / 1_000.0;
     }
     let text = format!("{}{tenant}, by {name}; the last stage stays\n", table(&lines));
     Ok(Shown { text, json: json!({"ok": true, "tenant": tenant, "stages": stages}), trouble: None })
--- a/crates/edge/src/claiming.rs
+++ b/crates/edge/src/claiming.rs
@@ -91,7 +91,7 @@
     }
 
     fn ask(&mut self, now: f64, table: &mut Operations, holder: Claimant) -> Step {
-        let call = RecallCall { operation: self.operation, claimant: holder, request: self.request };
+        let call = RecallCall { operation: self.operation, claimant: holder, request_digest: self.request };
         if !table.own(&holder) {
             return Step::Recall(call);
         }
@@ -112,7 +112,7 @@
                 self.taken_over = Some(holder);
                 return self.begin(now, table);
             }
-            Some(RecallAnswer::AtWork) => Refusal::AtWork,
+            Some(RecallAnswer::InProgress) => Refusal::AtWork,
             Some(RecallAnswer::OtherRequest) => Refusal::OtherRequest,
             Some(RecallAnswer::Answered(answer)) => {
                 table.repeated();
--- a/crates/edge/src/ebb.rs
+++ b/crates/edge/src/ebb.rs
@@ -2,9 +2,9 @@
 //! Without such a tenant it does nothing.
 
 use crate::link::Link;
-use nickeljunction_messages::{path, EbbAnswer, EbbCall, TrialLine};
+use nickeljunction_messages::{path, PaceSharesAnswer, PaceSharesCall, TrialInfo};
 use nickeljunction_net::wheel::Wheel;
-use nickeljunction_pacing::{Arrival, Curve, Rank, Standing, Throttle, Verdict};
+use nickeljunction_pacing::{Arrival, Rank, StageSchedule, TenantStatus, Throttle, Verdict};
 use nickeljunction_schema::Config;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     pub tenant: &'a str,
     /// Its route.
     pub route: &'a str,
-    /// In which order it gives way, see [`Rank::of`].
+    /// In which order it gives way, see [`Rank::from_gives_way`].
     pub gives_way: u32,
     /// Time within which its route's answers earn their full worth, ms.
     pub aim_ms: f64,
@@ -70,7 +70,7 @@
 
 impl Drop for Held<'_> {
     fn drop(&mut self) {
-        self.0.throttle.borrow_mut().done(self.1);
+        self.0.throttle.borrow_mut().end_delay(self.1);
     }
 }
 
@@ -95,11 +95,11 @@
     }
 
     /// Trials as the leader told them just now, by the configuration in force.
-    pub fn told(&self, trials: &[TrialLine], config: Option<&Config>) {
+    pub fn told(&self, trials: &[TrialInfo], config: Option<&Config>) {
         let now = self.wheel.now();
         let mut throttle = self.throttle.borrow_mut();
         for line in trials {
-            if throttle.told(now, &line.tenant, line.step, line.stage, line.in_ms as f64) {
+            if throttle.set_stage(now, &line.tenant, line.step, line.stage, line.in_ms as f64) {
                 log::info!(
                     "event=trial tenant={:?} step={} stage={} in_ms={}",
                     line.tenant,
@@ -119,11 +119,13 @@
     /// Another configuration is in force.
     pub fn configured(&self, config: &Config) {
         let known = |tenant: &str| config.tenants.contains_key(tenant);
-        self.throttle.borrow_mut().curves(|tenant| known(tenant).then(|| Curve::of(config, tenant)));
+        self.throttle
+            .borrow_mut()
+            .set_schedules(|tenant| known(tenant).then(|| StageSchedule::for_tenant(config, tenant)));
     }
 
     fn look(&self) {
-        let active = self.throttle.borrow().active(self.wheel.now());
+        let active = self.throttle.borrow().is_slowing(self.wheel.now());
         if !active {
             self.routes.borrow_mut().clear();
         }
@@ -157,12 +159,17 @@
             }
             (told && slow.deadline_ms < AGAIN_PART * known.longest_ms, known.expected_ms(slow.aim_ms))
         };
-        let arrival = Arrival { rank: Rank::of(slow.gives_way), left_ms: slow.left_ms, expected_ms, again };
-        let verdict = self.throttle.borrow_mut().arrive(now, slow.tenant, &arrival);
+        let arrival = Arrival {
+            rank: Rank::from_gives_way(slow.gives_way),
+            remaining_ms: slow.left_ms,
+            expected_ms,
+            is_retry: again,
+        };
+        let verdict = self.throttle.borrow_mut().admit(now, slow.tenant, &arrival);
         match verdict {
             Verdict::Pass => Ok(()),
-            Verdict::ComeBack { retry_after_ms } => Err(retry_after_ms),
-            Verdict::Hold { until } => {
+            Verdict::RetryLater { retry_after_ms } => Err(retry_after_ms),
+            Verdict::Delay { until } => {
                 let held = Held(self, slow.tenant);
                 if !self.leaving.get() {
                     self.wheel.timeout(until - now, self.left.notified()).await;
@@ -184,8 +191,8 @@
     }
 
     /// How slowed tenants stand here, for operators.
-    pub fn standings(&self) -> Vec<Standing> {
-        self.throttle.borrow_mut().standings(self.wheel.now())
+    pub fn standings(&self) -> Vec<TenantStatus> {
+        self.throttle.borrow_mut().tenant_statuses(self.wheel.now())
     }
 
     /// Asks the leader for shares while a tenant is slowed, for as long as it is polled.
@@ -204,12 +211,15 @@
         self.seq.set(self.seq.get() + 1);
         let (demand, held) = {
             let (now, throttle) = (self.wheel.now(), self.throttle.borrow());
-            (throttle.demand(now), throttle.shares_held(now))
+            (throttle.demand(now), throttle.shares_in_use(now))
+        };
+        let call = PaceSharesCall { demand, held, seq: self.seq.get(), ..link.ebb_call() };
+        let Some(answer) = link.ask_leader::<_, PaceSharesAnswer>(path::PACE_SHARES, &call, ANSWER_MS).await
+        else {
+            return;
         };
-        let call = EbbCall { demand, held, seq: self.seq.get(), ..link.ebb_call() };
-        let Some(answer) = link.ask_leader::<_, EbbAnswer>(path::EBB, &call, ANSWER_MS).await else { return };
         if answer.seq == call.seq {
-            self.throttle.borrow_mut().shares(&answer.shares);
+            self.throttle.borrow_mut().set_shares(&answer.shares);
         }
     }
 }
--- a/crates/edge/src/front/keyed.rs
+++ b/crates/edge/src/front/keyed.rs
@@ -217,7 +217,7 @@
     async fn await_holder(&self, call: &RecallCall, ask: &Ask, client: &Client) -> Option<RecallAnswer> {
         loop {
             let answer = self.ask_holder(call, ask).await;
-            let at_work = answer == Some(RecallAnswer::AtWork);
+            let at_work = answer == Some(RecallAnswer::InProgress);
             if !at_work || !self.waits(ask, client, LOOK_ELSEWHERE_MS).await {
                 return answer;
             }
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -12,7 +12,9 @@
 use crate::upstream::Place;
 use crate::watch::{Call, Ended, Step, Watcher, CONNECT_MS, GIVE_UP_MS};
 use bytes::Bytes;
-use nickeljunction_messages::{path, EbbCall, Elsewhere, GatewayLine, ServerLine, UnitsAnswer, WatchAnswer};
+use nickeljunction_messages::{
+    path, GatewayInfo, LeaderRedirect, PaceSharesCall, ServerInfo, UnitsAnswer, WatchAnswer,
+};
 use nickeljunction_net::caller::Caller;
 use nickeljunction_net::compression;
 use nickeljunction_net::figures::MOST_LABELLED;
@@ -176,8 +178,12 @@
     }
 
     /// Who asks for shares of paces.
-    pub(crate) fn ebb_call(&self) -> EbbCall {
-        EbbCall { name: self.own.place.name.clone(), life: self.own.life, ..EbbCall::default() }
+    pub(crate) fn ebb_call(&self) -> PaceSharesCall {
+        PaceSharesCall {
+            name: self.own.place.name.clone(),
+            incarnation: self.own.life,
+            ..PaceSharesCall::default()
+        }
     }
 
     /// A call to the leader, where one is known; its answer, where it leads.
@@ -201,7 +207,7 @@
     }
 
     /// All gateways, as far as is known here.
-    pub fn roster(&self) -> Rc<Vec<GatewayLine>> {
+    pub fn roster(&self) -> Rc<Vec<GatewayInfo>> {
         self.copy.borrow().catalog().roster.clone()
     }
 
@@ -287,7 +293,7 @@
         let to = self.address(&call.host)?;
         let place = &self.own.place;
         let (front, zone) = (self.own.front.clone(), place.zone.clone());
-        let line = GatewayLine { name: place.name.clone(), front, zone, ready: self.ready() };
+        let line = GatewayInfo { name: place.name.clone(), front, zone, ready: self.ready() };
         let mut ask = self.copy.borrow().ask(
             nickeljunction_messages::Caller::Gateway,
             &place.name,
@@ -295,7 +301,7 @@
             Some(line),
             call.hold_ms,
         );
-        ask.directory = self.own.directory;
+        ask.serves_directory = self.own.directory;
         let body = serde_json::to_vec(&ask).ok()?;
         let sent = self.wheel.now();
         let timeout = call.hold_ms as f64 + GIVE_UP_MS;
@@ -316,7 +322,7 @@
                 }
             },
             421 => {
-                let answer = serde_json::from_slice::<Elsewhere>(&reply.body).ok();
+                let answer = serde_json::from_slice::<LeaderRedirect>(&reply.body).ok();
                 Some(Ended::Elsewhere(answer.and_then(|answer| answer.leader)))
             }
             status => {
@@ -334,7 +340,7 @@
                 return Ended::Failed;
             }
         };
-        let (age, ready) = (answer.age_ms as f64, self.ready());
+        let (age, ready) = (answer.quorum_age_ms as f64, self.ready());
         let applied = match self.copy.borrow_mut().apply(answer) {
             Ok(applied) => applied,
             // The next call is answered by a difference to what is held by now, or by the whole.
@@ -354,7 +360,7 @@
         }
         if applied.config {
             if let Some(config) = &catalog.config {
-                match Document::view(&config.doc) {
+                match Document::view(&config.document) {
                     Ok(config) => self.configure(&config),
                     // The leader has checked it: versions of the programs differ.
                     Err(problem) => log::error!(
@@ -367,7 +373,7 @@
         }
         if !applied.trials.is_empty() {
             // Stages count down from here; curves come with the configuration, which may be older.
-            let config = catalog.config.as_ref().and_then(|config| Document::view(&config.doc).ok());
+            let config = catalog.config.as_ref().and_then(|config| Document::view(&config.document).ok());
             self.ebb.told(&applied.trials, config.as_ref());
         }
         if applied.gateways {
@@ -423,8 +429,8 @@
         let known_ms = self.lease.borrow().age(self.wheel.now()) as u64;
         let name = &self.own.place.name;
         let mut permits = false;
-        let line = |line: &Rc<ServerLine>| {
-            let mut line = ServerLine::clone(line);
+        let line = |line: &Rc<ServerInfo>| {
+            let mut line = ServerInfo::clone(line);
             if line.cold.as_ref() == Some(name) {
                 match Leave::of(&line, name, known_ms) {
                     Leave::Nothing => line.cold = Some(String::new()),
@@ -433,7 +439,7 @@
             }
             line
         };
-        let lines: Vec<ServerLine> = catalog.servers.values().map(line).collect();
+        let lines: Vec<ServerInfo> = catalog.servers.values().map(line).collect();
         self.permits_told.set(permits);
         let evacuated: Vec<String> = catalog.evacuated.iter().cloned().collect();
         let zones = self.own.zones.iter().map(|(zone, region)| (zone.clone(), region.clone())).collect();
@@ -479,7 +485,7 @@
                 let copy = self.copy.borrow();
                 // What this gateway knows was still the newest then.
                 if answer.version == copy.catalog().version() && answer.term >= copy.term() {
-                    self.lease.borrow_mut().answered(sent, answer.age_ms as f64);
+                    self.lease.borrow_mut().answered(sent, answer.quorum_age_ms as f64);
                 }
                 // There is a newer one, and the held call has not brought it.
                 if answer.version > copy.catalog().version() {
--- a/crates/edge/src/link/claims.rs
+++ b/crates/edge/src/link/claims.rs
@@ -3,7 +3,7 @@
 use super::Link;
 use crate::claims::{Awaited, Claims};
 use crate::hedge::HedgeDelay;
-use nickeljunction_messages::{path, ClaimAnswer, ClaimCall, Elsewhere, RecallAnswer, RecallCall};
+use nickeljunction_messages::{path, ClaimAnswer, ClaimCall, LeaderRedirect, RecallAnswer, RecallCall};
 use nickeljunction_net::caller::{CallError, Reply};
 use std::cell::Cell;
 use std::net::{IpAddr, SocketAddr};
@@ -48,7 +48,7 @@
         match reply.status {
             200 => serde_json::from_slice(&reply.body).map_or(Asked::Failed, Asked::Answered),
             421 => {
-                let elsewhere = serde_json::from_slice::<Elsewhere>(&reply.body).ok();
+                let elsewhere = serde_json::from_slice::<LeaderRedirect>(&reply.body).ok();
                 Asked::Elsewhere(elsewhere.and_then(|elsewhere| elsewhere.leader))
             }
             _ => Asked::Failed,
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -4,7 +4,7 @@
 use crate::link::Link;
 use crate::proxy::Proxy;
 use nickeljunction_net::figures::{Kind, Page, Writer, MOST_LABELLED};
-use nickeljunction_pacing::Standing;
+use nickeljunction_pacing::TenantStatus;
 use std::rc::Rc;
 
 /// What the figures are read from.
@@ -166,7 +166,7 @@
     fn trials(&self, page: &mut Page) {
         let standings = self.link.ebb().standings();
         let standings = &standings[..standings.len().min(MOST_LABELLED)];
-        let mut each = |name: &'static str, kind: Kind, help: &str, value: &dyn Fn(&Standing) -> f64| {
+        let mut each = |name: &'static str, kind: Kind, help: &str, value: &dyn Fn(&TenantStatus) -> f64| {
             page.figure(name, kind, help);
             for standing in standings {
                 page.value(&[("tenant", &standing.tenant)], value(standing));
@@ -175,10 +175,12 @@
         let (gauge, counter) = (Kind::Gauge, Kind::Counter);
         each("edge_trial_stage", gauge, "Stage of a lapsed trial in force here.", &|at| f64::from(at.stage));
         each("edge_trial_waiting", gauge, "Requests held here for a lapsed trial.", &|at| at.waiting as f64);
-        each("edge_trial_held_total", counter, "Requests that were held for it.", &|at| at.held.0 as f64);
-        let seconds = |at: &Standing| at.held.1 / 1_000.0;
+        each("edge_trial_held_total", counter, "Requests that were held for it.", &|at| at.delayed.0 as f64);
+        let seconds = |at: &TenantStatus| at.delayed.1 / 1_000.0;
         each("edge_trial_held_seconds_total", counter, "For how long, added up.", &seconds);
-        each("edge_trial_told_total", counter, "Requests told when to come back.", &|at| at.told as f64);
+        each("edge_trial_told_total", counter, "Requests told when to come back.", &|at| {
+            at.retry_later_count as f64
+        });
     }
 }
 
--- a/crates/edge/src/operations.rs
+++ b/crates/edge/src/operations.rs
@@ -242,7 +242,7 @@
     }
 
     fn claimant(&self, number: u64) -> Claimant {
-        Claimant { host: self.host, life: self.life, number }
+        Claimant { host: self.host, incarnation: self.life, number }
     }
 
     /// This claim ended before a server was asked, or each server vouched for not having run it.
@@ -306,7 +306,7 @@
 
     /// What became of a claim.
     pub fn look(&self, call: &RecallCall) -> RecallAnswer {
-        let RecallCall { operation, claimant, request } = call;
+        let RecallCall { operation, claimant, request_digest: request } = call;
         let record = self.records.get(operation).filter(|_| self.own(claimant));
         let Some(record) = record else { return RecallAnswer::InDoubt };
         if (record.first..record.number).contains(&claimant.number) {
@@ -318,7 +318,7 @@
         match &record.state {
             State::Released => RecallAnswer::Released,
             _ if record.request != *request => RecallAnswer::OtherRequest,
-            State::AtWork => RecallAnswer::AtWork,
+            State::AtWork => RecallAnswer::InProgress,
             State::InDoubt => RecallAnswer::InDoubt,
             State::Answered(answer) => RecallAnswer::Answered(answer.to_message()),
         }
@@ -326,7 +326,7 @@
 
     /// This process made the claim.
     pub fn own(&self, claimant: &Claimant) -> bool {
-        (claimant.host, claimant.life) == (self.host, self.life)
+        (claimant.host, claimant.incarnation) == (self.host, self.life)
     }
 
     /// A request here got an answer that another gateway keeps.
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -20,7 +20,7 @@
     Settings,
 };
 use nickeljunction_core::life::{Answer, Core, Ports, ANSWER_MARGIN_MS};
-use nickeljunction_messages::ServerLine;
+use nickeljunction_messages::ServerInfo;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::wheel::Wheel;
 use std::cell::{Cell, RefCell};
@@ -216,7 +216,7 @@
     }
 
     /// Takes the whole list of servers, the zones that are evacuated, and the region of each zone.
-    pub fn servers(&self, lines: &[ServerLine], evacuated: &[String], regions: &HashMap<String, String>) {
+    pub fn servers(&self, lines: &[ServerInfo], evacuated: &[String], regions: &HashMap<String, String>) {
         let evacuated: HashSet<String> = evacuated.iter().cloned().collect();
         let upstreams = usable(lines, &evacuated, regions, &self.shared.here);
         let upstreams = upstreams.into_iter().map(|upstream| (upstream.id.clone(), upstream)).collect();
--- a/crates/edge/src/resolve.rs
+++ b/crates/edge/src/resolve.rs
@@ -1,7 +1,7 @@
 //! `/-/resolve`: where a client is to go.
 
 use crate::link::Link;
-use nickeljunction_messages::GatewayLine;
+use nickeljunction_messages::GatewayInfo;
 use nickeljunction_net::desk::{percent_decoded, Answering, Call, Resource, Response};
 use nickeljunction_registry::{directory, Client};
 use std::cell::RefCell;
@@ -52,7 +52,7 @@
 }
 
 /// All gateways but the one of this name; all of them where it is the only one.
-fn others(roster: &[GatewayLine], name: &str) -> Vec<GatewayLine> {
+fn others(roster: &[GatewayInfo], name: &str) -> Vec<GatewayInfo> {
     let others: Vec<_> = roster.iter().filter(|line| line.name != name).cloned().collect();
     match others.is_empty() {
         true => roster.to_vec(),
@@ -66,13 +66,13 @@
 
     #[test]
     fn a_gateway_out_of_touch_names_the_others_and_itself_only_if_there_are_none() {
-        let line = |name: &str| GatewayLine {
+        let line = |name: &str| GatewayInfo {
             name: name.into(),
             zone: "z".into(),
             front: format!("{name}:1"),
             ready: true,
         };
-        let named = |roster: &[GatewayLine]| {
+        let named = |roster: &[GatewayInfo]| {
             let names = others(roster, "g1").into_iter().map(|line| line.name);
             names.collect::<Vec<_>>()
         };
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -1,6 +1,6 @@
 //! Which servers a gateway sends to, and how near they are. Pure functions over what the core tells.
 
-use nickeljunction_messages::ServerLine;
+use nickeljunction_messages::ServerInfo;
 use nickeljunction_registry::barred;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -58,13 +58,13 @@
 
 /// The servers of a list that may be used: in service, in no evacuated zone, and warm or with this gateway's permit.
 pub fn usable(
-    lines: &[ServerLine],
+    lines: &[ServerInfo],
     evacuated: &HashSet<String>,
     regions: &HashMap<String, String>,
     here: &Place,
 ) -> Vec<Upstream> {
-    let fits = |line: &&ServerLine| barred(line, &here.name, |zone| evacuated.contains(zone)).is_none();
-    let upstream = |line: &ServerLine| {
+    let fits = |line: &&ServerInfo| barred(line, &here.name, |zone| evacuated.contains(zone)).is_none();
+    let upstream = |line: &ServerInfo| {
         let address = line.address.parse();
         if address.is_err() {
             log::warn!("event=bad_address server={} address={}", line.id, line.address);
@@ -129,10 +129,10 @@
     use super::*;
     use nickeljunction_messages::ServerState;
 
-    fn line(id: &str, zone: &str, state: ServerState, cold: Option<&str>) -> ServerLine {
+    fn line(id: &str, zone: &str, state: ServerState, cold: Option<&str>) -> ServerInfo {
         let (backend, address) = ("b".to_string(), "127.0.0.1:1".to_string());
         let (id, zone, cold) = (id.to_string(), zone.to_string(), cold.map(str::to_string));
-        ServerLine { id, backend, address, zone, slots: 2, state, cold }
+        ServerInfo { id, backend, address, zone, slots: 2, state, cold }
     }
 
     #[test]
--- a/crates/edge/tests/claims.rs
+++ b/crates/edge/tests/claims.rs
@@ -54,7 +54,7 @@
 }
 
 fn claimant(life: u64, number: u64) -> Claimant {
-    Claimant { host: Ipv4Addr::LOCALHOST, life, number }
+    Claimant { host: Ipv4Addr::LOCALHOST, incarnation: life, number }
 }
 
 async fn claim(reactions: Vec<Reaction>, for_ms: f64) -> (Option<ClaimAnswer>, Vec<Vec<u8>>) {
@@ -111,10 +111,10 @@
             serve(&wheel, &[(path::RECALL, Rc::new(Recall::new(wheel.clone(), operations.clone())))]).await;
         let link = link(&wheel, port);
         let ask = async |claimant| {
-            let call = RecallCall { operation: OPERATION, claimant, request: 9 };
+            let call = RecallCall { operation: OPERATION, claimant, request_digest: 9 };
             link.recall(&call, 5_000.0).await
         };
-        assert_eq!(ask(own).await, Some(RecallAnswer::AtWork));
+        assert_eq!(ask(own).await, Some(RecallAnswer::InProgress));
         operations.borrow_mut().release(wheel.now(), OPERATION, own.number);
         assert_eq!(ask(own).await, Some(RecallAnswer::Released));
         assert_eq!(ask(claimant(6, own.number)).await, Some(RecallAnswer::InDoubt));
--- a/crates/edge/tests/cuts.rs
+++ b/crates/edge/tests/cuts.rs
@@ -9,7 +9,7 @@
 use nickeljunction_edge::upstream::Place;
 use nickeljunction_http::stream::{read_request_head, BodyReader};
 use nickeljunction_http::Chunk;
-use nickeljunction_messages::{ServerLine, ServerState};
+use nickeljunction_messages::{ServerInfo, ServerState};
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
 use nickeljunction_net::wheel::Wheel;
@@ -206,7 +206,7 @@
             let address = listener.local_addr().expect("bound").to_string();
             let (id, backend, zone) = (format!("s{at}"), "b".to_string(), "n1".to_string());
             let state = ServerState::InService;
-            lines.push(ServerLine { id, backend, address, zone, slots: 2, state, cold: None });
+            lines.push(ServerInfo { id, backend, address, zone, slots: 2, state, cold: None });
             let seen = seen.clone();
             tasks.spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
--- a/crates/edge/tests/front.rs
+++ b/crates/edge/tests/front.rs
@@ -7,7 +7,7 @@
 use nickeljunction_core::facade::Repeat;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{Admission, Admitted, Body, Exchange, Part, Served};
-use nickeljunction_messages::TrialLine;
+use nickeljunction_messages::TrialInfo;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[test]
@@ -446,7 +446,7 @@
     run(async {
         let world = World::new("");
         assert!(world.desk.ebb().is_none(), "nobody is slowed");
-        let line = TrialLine { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
+        let line = TrialInfo { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
         world.desk.ebb.told(&[line], Some(world.document.config()));
         // They may be held for half of a minute, and nobody waits that long here.
         let mut clients = Vec::new();
@@ -486,7 +486,7 @@
     run(async {
         let world = World::new("");
         for stage in 1..=4_u32 {
-            let line = TrialLine { tenant: "t".into(), step: u64::from(stage), stage, in_ms: 0 };
+            let line = TrialInfo { tenant: "t".into(), step: u64::from(stage), stage, in_ms: 0 };
             world.desk.ebb.told(&[line], Some(world.document.config()));
             // The last: the servers' side lets go of it, and it may have run.
             for (at, status) in ["200", "502", "503", "502"].into_iter().enumerate() {
--- a/crates/edge/tests/keyed.rs
+++ b/crates/edge/tests/keyed.rs
@@ -100,7 +100,7 @@
 
     fn recall<'a>(&'a self, call: &'a RecallCall, _timeout_ms: f64) -> Awaited<'a, RecallAnswer> {
         Box::pin(async move {
-            let gateway = self.gateways.borrow().get(&call.claimant.life).cloned()?;
+            let gateway = self.gateways.borrow().get(&call.claimant.incarnation).cloned()?;
             let answer = gateway.borrow_mut().recall(0.0, call);
             Some(answer)
         })
@@ -364,8 +364,12 @@
         }
         let sent: usize = gateways.iter().map(|gateway| gateway.proxy.ids().len()).sum();
         assert_eq!(sent, 1);
-        let numbers: Vec<_> =
-            core.calls.borrow().iter().map(|call| (call.claimant.life, call.claimant.number)).collect();
+        let numbers: Vec<_> = core
+            .calls
+            .borrow()
+            .iter()
+            .map(|call| (call.claimant.incarnation, call.claimant.number))
+            .collect();
         let mut once = numbers.clone();
         once.dedup();
         assert_eq!(once, numbers, "a number is claimed once");
--- a/crates/edge/tests/leaving.rs
+++ b/crates/edge/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use front_world::*;
 use nickeljunction_edge::shutdown::Shutdown;
-use nickeljunction_messages::TrialLine;
+use nickeljunction_messages::TrialInfo;
 
 /// From the order to leave to the end of the process, ms.
 const GRACE_MS: f64 = 6_000.0;
@@ -112,7 +112,7 @@
 fn a_full_queue_goes_on_at_the_order_to_leave() {
     run(async {
         let world = World::new("");
-        let line = TrialLine { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
+        let line = TrialInfo { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
         world.desk.ebb.told(&[line], Some(world.document.config()));
         let mut clients = Vec::new();
         for id in 0..64 {
--- a/crates/edge/tests/once_world/core.rs
+++ b/crates/edge/tests/once_world/core.rs
@@ -4,7 +4,7 @@
 use super::Fault;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall};
 use nickeljunction_operations::{
-    Batch, ClaimLog, GenerationClock, OperationTable, OperationsEntry, WaitingClaim,
+    Batch, ClaimBatcher, GenerationClock, OperationTable, OperationsEntry, WaitingClaim,
 };
 use std::collections::VecDeque;
 
@@ -24,7 +24,7 @@
     lagging: OperationTable,
     /// Entries that aren't committed, with the callers that wait for them.
     tail: VecDeque<(OperationsEntry, Option<Batch>)>,
-    claims: ClaimLog,
+    claims: ClaimBatcher,
     /// Of the claims' log: 0 where nothing waits.
     batch_ms: u64,
     clock: GenerationClock,
@@ -37,7 +37,7 @@
             table: OperationTable::default(),
             lagging: OperationTable::default(),
             tail: VecDeque::new(),
-            claims: ClaimLog::default(),
+            claims: ClaimBatcher::default(),
             batch_ms: 0,
             clock: GenerationClock::new(WINDOW_MS),
             leaders: 0,
@@ -54,7 +54,7 @@
         if let Some(refusal) = self.table.refusal(&call) {
             return vec![(from, call, refusal)];
         }
-        assert!(self.claims.note(WaitingClaim { call, ticket: from as u64, until: u64::MAX }));
+        assert!(self.claims.enqueue(WaitingClaim { call, ticket: from as u64, deadline: u64::MAX }));
         self.propose(fault)
     }
 
@@ -64,10 +64,10 @@
         let mut early = Vec::new();
         if fault == Fault::AnsweredBeforeCommit {
             let mut table = self.table.clone();
-            table.apply(&batch.entry());
+            table.apply(&batch.to_entry());
             early = answers(&batch, &table);
         }
-        self.tail.push_back((batch.entry(), Some(batch)));
+        self.tail.push_back((batch.to_entry(), Some(batch)));
         early
     }
 
@@ -91,7 +91,7 @@
         self.lagging = self.table.clone();
         self.apply(&entry);
         let Some(batch) = batch else { return Vec::new() };
-        self.claims.settled(&batch);
+        self.claims.finish_batch(&batch);
         let mut answers = answers(&batch, &self.table);
         answers.extend(self.propose(fault));
         self.rest();
@@ -107,7 +107,7 @@
     /// Nobody waits for the entries of the tail any more; they may be committed yet.
     pub fn give_up(&mut self, fault: Fault) -> Vec<Answered> {
         for (_, batch) in &mut self.tail {
-            batch.take().into_iter().for_each(|batch| self.claims.settled(&batch));
+            batch.take().into_iter().for_each(|batch| self.claims.finish_batch(&batch));
         }
         let answers = self.propose(fault);
         self.rest();
@@ -122,7 +122,7 @@
     pub fn change_leader(&mut self, kept: usize, fault: Fault) {
         self.tail.truncate(kept);
         self.tail.iter_mut().for_each(|(_, batch)| *batch = None);
-        self.claims = ClaimLog::default();
+        self.claims = ClaimBatcher::default();
         self.batch_ms = 0;
         self.leaders += 1;
         if fault != Fault::ClockKept {
@@ -133,7 +133,7 @@
     /// Numbers of batches that are over don't tell states apart.
     fn rest(&mut self) {
         if !self.somebody_waits() {
-            (self.claims, self.batch_ms) = (ClaimLog::default(), 0);
+            (self.claims, self.batch_ms) = (ClaimBatcher::default(), 0);
         }
     }
 
@@ -141,7 +141,7 @@
     pub fn pass(&mut self, from_ms: u64, to_ms: u64) {
         for now in (from_ms + LOOK_MS..=to_ms).step_by(LOOK_MS as usize) {
             let leaders_ms = now + self.leaders * CLOCK_STEP_MS;
-            while let Some(entry) = self.clock.due(leaders_ms, &self.table) {
+            while let Some(entry) = self.clock.due_entry(leaders_ms, &self.table) {
                 while self.has_tail() {
                     self.commit(Fault::None);
                 }
--- a/crates/edge/tests/operations.rs
+++ b/crates/edge/tests/operations.rs
@@ -36,7 +36,11 @@
 }
 
 fn recall(operation: OperationId, number: u64, request: u64) -> RecallCall {
-    RecallCall { operation, claimant: Claimant { host: HOST, life: LIFE, number }, request }
+    RecallCall {
+        operation,
+        claimant: Claimant { host: HOST, incarnation: LIFE, number },
+        request_digest: request,
+    }
 }
 
 #[test]
@@ -200,7 +204,7 @@
                             let fits = match told {
                                 RecallAnswer::Released => *end == End::Released,
                                 RecallAnswer::OtherRequest => *known != request && *end != End::Released,
-                                RecallAnswer::AtWork => *end == End::AtWork && *known == request,
+                                RecallAnswer::InProgress => *end == End::AtWork && *known == request,
                                 RecallAnswer::Answered(_) => *end == End::Answered && *known == request,
                                 RecallAnswer::InDoubt => false,
                             };
--- a/crates/edge/tests/proxy.rs
+++ b/crates/edge/tests/proxy.rs
@@ -12,7 +12,7 @@
 use nickeljunction_edge::upstream::Place;
 use nickeljunction_http::stream::{read_request_head, BodyReader};
 use nickeljunction_http::{Chunk, Headers};
-use nickeljunction_messages::{ServerLine, ServerState};
+use nickeljunction_messages::{ServerInfo, ServerState};
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
 use nickeljunction_net::wheel::Wheel;
@@ -77,7 +77,7 @@
     arrivals: Rc<RefCell<Vec<Arrival>>>,
     /// Tells of connections that ended while a server said nothing.
     hung_up: Rc<Notify>,
-    lines: Vec<ServerLine>,
+    lines: Vec<ServerInfo>,
 }
 
 impl Rig {
@@ -103,7 +103,7 @@
                 (format!("s{at}"), "b".into(), zone.to_string(), ServerState::InService);
             let play = (script.clone(), arrivals.clone(), hung_up.clone());
             tokio::task::spawn_local(listen(listener, id.clone(), play));
-            lines.push(ServerLine { id, backend, address, zone, slots: 2, state, cold: None });
+            lines.push(ServerInfo { id, backend, address, zone, slots: 2, state, cold: None });
         }
         let rig = Rig { proxy, wheel, arrivals, hung_up, lines };
         rig.proxy.fleet(1);
--- a/crates/edge/tests/shutdown_soak.rs
+++ b/crates/edge/tests/shutdown_soak.rs
@@ -3,7 +3,7 @@
 
 mod shutdown_world;
 
-use nickeljunction_messages::{ServerLine, ServerState};
+use nickeljunction_messages::{ServerInfo, ServerState};
 use shutdown_world::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -170,7 +170,7 @@
 }
 
 /// A server that is silent.
-async fn silent() -> ServerLine {
+async fn silent() -> ServerInfo {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     spawn_local(async move {
@@ -180,7 +180,7 @@
         }
     });
     let (id, backend, zone, state) = ("s".into(), "b".into(), "n1".into(), ServerState::InService);
-    ServerLine { id, backend, address, zone, slots: 2, state, cold: None }
+    ServerInfo { id, backend, address, zone, slots: 2, state, cold: None }
 }
 
 #[test]
--- a/crates/edge/tests/shutdown_world/mod.rs
+++ b/crates/edge/tests/shutdown_world/mod.rs
@@ -15,7 +15,7 @@
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_edge::table::{Swap, Table};
 use nickeljunction_edge::upstream::Place;
-use nickeljunction_messages::ServerLine;
+use nickeljunction_messages::ServerInfo;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
 use nickeljunction_net::wheel::Wheel;
@@ -61,7 +61,7 @@
     Term,
     Hup,
     /// The core tells of a configuration whose routes may take so many ms longer, and of these servers.
-    Config(u32, Vec<ServerLine>),
+    Config(u32, Vec<ServerInfo>),
 }
 
 /// A configuration: routes of a short and a long aim, one that must not run twice, and one that may take far longer than the
--- a/crates/edge/tests/shutdown_world/servers.rs
+++ b/crates/edge/tests/shutdown_world/servers.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use nickeljunction_http::stream::read_request_head;
 use nickeljunction_http::Framing;
-use nickeljunction_messages::{ServerLine, ServerState};
+use nickeljunction_messages::{ServerInfo, ServerState};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
         number: u64,
         seed: u64,
         runs: &Rc<RefCell<BTreeMap<String, Vec<Run>>>>,
-    ) -> ServerLine {
+    ) -> ServerInfo {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound").to_string();
         let draws = RefCell::new(fastrand::Rng::with_seed(seed ^ (number << 32)));
@@ -55,7 +55,7 @@
             }
         });
         let (id, backend, zone) = (format!("s{number}"), "b".into(), "n1".into());
-        ServerLine { id, backend, address, zone, slots: 50, state: ServerState::InService, cold: None }
+        ServerInfo { id, backend, address, zone, slots: 50, state: ServerState::InService, cold: None }
     }
 
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
--- a/crates/edge/tests/stories.rs
+++ b/crates/edge/tests/stories.rs
@@ -10,7 +10,7 @@
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_edge::upstream::Place;
 use nickeljunction_http::stream::read_request_head;
-use nickeljunction_messages::{ServerLine, ServerState};
+use nickeljunction_messages::{ServerInfo, ServerState};
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
 use nickeljunction_net::wheel::Wheel;
@@ -226,7 +226,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound").to_string();
         let (id, backend, zone) = (format!("s{at}"), "b".to_string(), "n1".to_string());
-        lines.push(ServerLine {
+        lines.push(ServerInfo {
             id,
             backend,
             address,
--- a/crates/edge/tests/units.rs
+++ b/crates/edge/tests/units.rs
@@ -4,7 +4,7 @@
 
 use link_world::{link, serve, wheel};
 use nickeljunction_edge::exchange::{Admission, Admitted};
-use nickeljunction_messages::{path, ConfigLine, UnitsCall, WatchAnswer};
+use nickeljunction_messages::{path, UnitsCall, VersionedConfig, WatchAnswer};
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
 use nickeljunction_net::wheel::Wheel;
 use nickeljunction_quota::{Counter, Limit, Tuning};
@@ -28,9 +28,9 @@
         let held_ms = if self.asked.replace(true) { 1_000.0 } else { 0.0 };
         let doc = serde_json::json!({"config_version": 1, "limits": {}, "backends": {}, "routes": {},
             "tenants": {"t": {"api_keys": ["k"], "rate_per_s": 10, "burst_size": 0}}});
-        let config = Some(Rc::new(ConfigLine { version: 1, doc }));
+        let config = Some(Rc::new(VersionedConfig { version: 1, document: doc }));
         let answer =
-            WatchAnswer { term: 1, seq: 1, config, gateways: Some(GATEWAYS), ..WatchAnswer::default() };
+            WatchAnswer { term: 1, seq: 1, config, gateway_count: Some(GATEWAYS), ..WatchAnswer::default() };
         Box::pin(async move {
             self.wheel.sleep(held_ms).await;
             Response::json(200, serde_json::to_string(&answer).expect("text"))
@@ -53,7 +53,7 @@
                 let (now, mut counter) = (self.wheel.now() as u64, self.counter.borrow_mut());
                 if let Some(roll) = counter.before(now, &call) {
                     counter.logged(&roll.come);
-                    counter.came(call.life);
+                    counter.came(call.incarnation);
                 }
                 counter.call(now, &call, GATEWAYS as usize)
             };
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -21,8 +21,8 @@
     pub const WATCH: &str = "/watch";
     /// Counted adds of a gateway: [`super::UnitsCall`], [`super::UnitsAnswer`].
     pub const UNITS: &str = "/units";
-    /// Shares of the paces of lapsed tenants: [`super::EbbCall`], [`super::EbbAnswer`].
-    pub const EBB: &str = "/ebb";
+    /// Shares of the paces of lapsed tenants: [`super::PaceSharesCall`], [`super::PaceSharesAnswer`].
+    pub const PACE_SHARES: &str = "/ebb";
     /// A gateway claims a keyed operation: [`super::ClaimCall`], [`super::ClaimAnswer`].
     pub const CLAIM: &str = "/operations/claim";
     /// A gateway asks the one that holds a claim: [`super::RecallCall`], [`super::RecallAnswer`].
@@ -43,7 +43,7 @@
 
 /// Answer of a core member that doesn't lead, with status 421.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct LeaderRedirect {
     /// IP address of the machine that leads, as far as this one knows.
     pub leader: Option<String>,
 }
@@ -61,7 +61,7 @@
 
 /// A gateway as the directory needs it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GatewayLine {
+pub struct GatewayInfo {
     /// Name of its machine.
     pub name: String,
     /// Where clients reach it.
@@ -76,14 +76,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchCall {
     /// Who asks.
-    pub who: Caller,
+    #[serde(rename = "who")]
+    pub caller: Caller,
     /// Name of the machine.
     pub name: String,
     /// Drawn at the start of its process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// A gateway's own line, in its first call to a leader and whenever it changed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub line: Option<GatewayLine>,
+    #[serde(rename = "line", default, skip_serializing_if = "Option::is_none")]
+    pub gateway: Option<GatewayInfo>,
     /// Term and number of what it has; 0, 0: nothing.
     pub term: u64,
     /// See `term`.
@@ -93,17 +95,17 @@
     /// How long the call may be held, ms; 0: answer at once.
     pub wait_ms: u64,
     /// A gateway that serves the directory, too: it is told the list of gateways.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub directory: bool,
+    #[serde(rename = "directory", default, skip_serializing_if = "std::ops::Not::not")]
+    pub serves_directory: bool,
     /// It takes [`ConfigChange`]s.
     #[serde(rename = "d", default, skip_serializing_if = "std::ops::Not::not")]
-    pub differences: bool,
+    pub accepts_config_changes: bool,
     /// It takes [`RosterChange`]s.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
-    pub roster_differences: bool,
+    pub accepts_roster_changes: bool,
     /// The table of servers that it has was told whole by the leader of `term`, and followed since.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
-    pub told_whole: bool,
+    pub has_full_server_list: bool,
     /// A core member whose state came apart from the log's: it is to be told the leader's, whole.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub diverged: bool,
@@ -113,11 +115,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterChange {
     /// Gateways that came or changed.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub lines: Vec<GatewayLine>,
+    #[serde(rename = "lines", default, skip_serializing_if = "Vec::is_empty")]
+    pub changed: Vec<GatewayInfo>,
     /// Names of those that are gone.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub gone: Vec<String>,
+    #[serde(rename = "gone", default, skip_serializing_if = "Vec::is_empty")]
+    pub removed: Vec<String>,
 }
 
 /// State of a server's life.
@@ -133,7 +135,7 @@
 
 /// A server's life as gateways need it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ServerLine {
+pub struct ServerInfo {
     /// Its instance id, new with each start.
     pub id: String,
     /// Its service.
@@ -158,11 +160,12 @@
 
 /// A configuration under way to a gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ConfigLine {
+pub struct VersionedConfig {
     /// Its version.
     pub version: u64,
     /// The document, whole, as the operator sent it or as its changes made it.
-    pub doc: serde_json::Value,
+    #[serde(rename = "doc")]
+    pub document: serde_json::Value,
 }
 
 /// What makes the newest configuration of an older one: all versions between in one.
@@ -180,9 +183,10 @@
 
 /// A leader's state, for a core member that lost its own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Restated {
+pub struct StateTransfer {
     /// Index of the last entry of the log in it.
-    pub after: u64,
+    #[serde(rename = "after")]
+    pub last_index: u64,
     /// As in a snapshot of the log.
     pub state: String,
 }
@@ -195,44 +199,45 @@
     /// See `term`.
     pub seq: u64,
     /// So long ago, ms, a majority of the core agreed that the sender leads: what it tells is no older than that.
-    pub age_ms: u64,
+    #[serde(rename = "age_ms")]
+    pub quorum_age_ms: u64,
     /// `servers` is the whole list: lives that are not named are gone.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub whole: bool,
+    #[serde(rename = "whole", default, skip_serializing_if = "std::ops::Not::not")]
+    pub is_full_list: bool,
     /// The newest configuration, where the caller hasn't it and `change` isn't given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub config: Option<Rc<ConfigLine>>,
+    pub config: Option<Rc<VersionedConfig>>,
     /// The same as a difference to the version that the caller has.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub change: Option<Rc<ConfigChange>>,
+    #[serde(rename = "change", default, skip_serializing_if = "Option::is_none")]
+    pub config_change: Option<Rc<ConfigChange>>,
     /// The leader's state, where the caller asked for it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub restated: Option<Restated>,
+    #[serde(rename = "restated", default, skip_serializing_if = "Option::is_none")]
+    pub state_transfer: Option<StateTransfer>,
     /// Zones that are evacuated: all of them, where they changed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub evacuated: Option<Vec<String>>,
+    #[serde(rename = "evacuated", default, skip_serializing_if = "Option::is_none")]
+    pub evacuated_zones: Option<Vec<String>>,
     /// Lives that came or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub servers: Vec<ServerLine>,
+    pub servers: Vec<ServerInfo>,
     /// Ids of lives that are gone.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub gone: Vec<String>,
+    #[serde(rename = "gone", default, skip_serializing_if = "Vec::is_empty")]
+    pub removed_servers: Vec<String>,
     /// How many gateways there are, where that changed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gateways: Option<u32>,
+    #[serde(rename = "gateways", default, skip_serializing_if = "Option::is_none")]
+    pub gateway_count: Option<u32>,
     /// IP addresses of the core's machines, where they changed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub core: Option<Vec<String>>,
+    #[serde(rename = "core", default, skip_serializing_if = "Option::is_none")]
+    pub core_hosts: Option<Vec<String>>,
     /// All gateways, where they changed and `roster_change` isn't given; told to core members, and to gateways that serve
     /// the directory.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub roster: Option<Vec<GatewayLine>>,
+    pub roster: Option<Vec<GatewayInfo>>,
     /// The same as a difference to what was told up to the call's number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub roster_change: Option<RosterChange>,
     /// All trials that have ever changed, where one did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub trials: Option<Vec<TrialLine>>,
+    pub trials: Option<Vec<TrialInfo>>,
 }
 
 /// What a gateway tells of one tenant's units.
@@ -243,10 +248,10 @@
     pub loan: u64,
     /// Units asked for (the add's amount); 0: none.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
-    pub want: u64,
+    pub requested: u64,
     /// First fetch of this tenant: the counter divides the cap by its own count of gateways instead.
     #[serde(rename = "f", default, skip_serializing_if = "std::ops::Not::not")]
-    pub first: bool,
+    pub is_first_fetch: bool,
     /// Units that it would spend at once, beyond its pace; 0: none.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
     pub boost: u64,
@@ -255,14 +260,14 @@
     pub pace: u64,
     /// Least pace that it had in the last window, in a call that tells all.
     #[serde(rename = "n", default, skip_serializing_if = "is_zero")]
-    pub least: u64,
+    pub min_pace: u64,
     /// Most pace that it had in the last window, where that is more than both `loan` and `pace`, in a call that tells all.
     #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
-    pub most: u64,
+    pub max_pace: u64,
     /// So many units of `loan` it may not spend again: they were spent before its limit was lowered, or its loan ran out.
     /// In a call that tells all.
     #[serde(rename = "o", default, skip_serializing_if = "is_zero")]
-    pub over: u64,
+    pub unspendable: u64,
     /// Units that it was allowed beyond its pace in the last window, in a call that tells all.
     #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
     pub boosted: u64,
@@ -279,29 +284,29 @@
 pub struct UnitsCall {
     /// Drawn at the start of its process.
     #[serde(rename = "i")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each call of this life.
     #[serde(rename = "q")]
     pub seq: u64,
     /// Tells all tenants with their memory: what a new counter asks for.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub all: bool,
+    #[serde(rename = "all", default, skip_serializing_if = "std::ops::Not::not")]
+    pub is_full_report: bool,
     /// Name of the gateway's machine; in a call that tells all.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub name: String,
     /// Term of the counter that it is meant for, in a call that tells all: any other has it told anew, for such a call
     /// may be old, and more have been lent since.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
-    pub to: u64,
+    pub counter_term: u64,
     /// So long ago, ms, this life began; in a call that tells all.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub born_ms: u64,
+    #[serde(rename = "born_ms", default, skip_serializing_if = "is_zero")]
+    pub uptime_ms: u64,
     /// It tells `boosted` where that isn't 0; programs before 0.3.0 don't. In a call that tells all.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
-    pub tells_boosted: bool,
+    pub reports_boosted: bool,
     /// The last call of this life: it spends nothing after it.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub end: bool,
+    #[serde(rename = "end", default, skip_serializing_if = "std::ops::Not::not")]
+    pub is_final: bool,
     /// By tenant.
     #[serde(rename = "u", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub tenants: BTreeMap<String, TenantUnits>,
@@ -318,13 +323,13 @@
     pub remaining: u64,
     /// Units of these that the paces of all gateways leave for this one; none: all.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub room: Option<u64>,
+    pub pace_headroom: Option<u64>,
     /// Units of its loan that may be spent at once, beyond the pace.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
     pub boost: u64,
     /// A pace, units a window, that holds for a while whatever the loan is; with a first fetch.
     #[serde(rename = "p", default, skip_serializing_if = "is_zero")]
-    pub lift: u64,
+    pub initial_pace: u64,
 }
 
 /// The counter's answer.
@@ -337,11 +342,11 @@
     #[serde(rename = "e")]
     pub term: u64,
     /// The counter doesn't know this life: call again and tell all; nothing was lent.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub tell: bool,
+    #[serde(rename = "tell", default, skip_serializing_if = "std::ops::Not::not")]
+    pub full_report_needed: bool,
     /// So long ago, ms, a majority of the core agreed that the sender leads.
     #[serde(rename = "a", default)]
-    pub age_ms: u64,
+    pub quorum_age_ms: u64,
     /// Version of the newest configuration at that time: to a gateway that has it, the answer confirms its knowledge.
     #[serde(rename = "v", default)]
     pub version: u64,
@@ -352,7 +357,7 @@
 
 /// A tenant's trial as gateways need it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TrialLine {
+pub struct TrialInfo {
     /// Whose.
     #[serde(rename = "t")]
     pub tenant: String,
@@ -373,12 +378,12 @@
 
 /// A gateway asks for its shares of the paces of tenants whose trial lapses. Only while there are some.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct EbbCall {
+pub struct PaceSharesCall {
     /// Name of the gateway's machine.
     pub name: String,
     /// Drawn at the start of its process.
     #[serde(rename = "i")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each call of this life.
     #[serde(rename = "q")]
     pub seq: u64,
@@ -392,7 +397,7 @@
 
 /// Shares of paces, good for a while.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct EbbAnswer {
+pub struct PaceSharesAnswer {
     /// The call's own number.
     #[serde(rename = "q")]
     pub seq: u64,
--- a/crates/messages/src/operations.rs
+++ b/crates/messages/src/operations.rs
@@ -68,7 +68,7 @@
     pub host: std::net::Ipv4Addr,
     /// Drawn at the start of its process.
     #[serde(rename = "i")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each claim of this life.
     #[serde(rename = "n")]
     pub number: u64,
@@ -111,7 +111,7 @@
     pub claimant: Claimant,
     /// Digest of the request that asks: another request under the same key gets no answer of the first one.
     #[serde(rename = "f")]
-    pub request: u64,
+    pub request_digest: u64,
 }
 
 /// What a holder says of an operation.
@@ -119,7 +119,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum RecallAnswer {
     /// A server may be at work on it.
-    AtWork,
+    #[serde(rename = "at_work")]
+    InProgress,
     /// It ran nowhere and this claim will never be used: it may be taken over.
     Released,
     /// It ran, and this is the answer that its client got.
--- a/crates/operations/src/claim_log.rs
+++ b/crates/operations/src/claim_batcher.rs
@@ -23,13 +23,13 @@
     /// Names the caller.
     pub ticket: u64,
     /// Last moment for its answer, ms.
-    pub until: u64,
+    pub deadline: u64,
 }
 
 impl WaitingClaim {
     /// Its answer, once the entry with it is applied; `None`: it waited for too long, and whoever asked may have given up.
     pub fn answer(&self, now: u64, table: &OperationTable) -> Option<ClaimAnswer> {
-        if now > self.until {
+        if now > self.deadline {
             return None;
         }
         let holder = table.holder(self.call.operation);
@@ -52,7 +52,7 @@
 
 impl Batch {
     /// As an entry of the log.
-    pub fn entry(&self) -> OperationsEntry {
+    pub fn to_entry(&self) -> OperationsEntry {
         let mut entry = OperationsEntry::default();
         for WaitingClaim { call, .. } in &self.claims {
             let claim = Claim { operation: call.operation, claimant: call.claimant };
@@ -67,7 +67,7 @@
 
 /// See the module. It outlives the lead, as entries under way do.
 #[derive(Debug, Clone, Default)]
-pub struct ClaimLog {
+pub struct ClaimBatcher {
     waiting: VecDeque<WaitingClaim>,
     /// Numbers of batches.
     under_way: BTreeSet<u64>,
@@ -76,9 +76,9 @@
     next_at: u64,
 }
 
-impl ClaimLog {
+impl ClaimBatcher {
     /// A claim came; false where too many wait, and it isn't taken.
-    pub fn note(&mut self, claim: WaitingClaim) -> bool {
+    pub fn enqueue(&mut self, claim: WaitingClaim) -> bool {
         let has_room = self.waiting.len() < MOST_WAITING;
         if has_room {
             self.waiting.push_back(claim);
@@ -87,11 +87,11 @@
     }
 
     /// Claims that wait for their entry.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// What is to be put on the log now, if anything; [`ClaimLog::settled`] is to be told of it.
+    /// What is to be put on the log now, if anything; [`ClaimBatcher::settled`] is to be told of it.
     pub fn next_batch(&mut self, now: u64) -> Option<Batch> {
         if self.next_batch_at()? > now {
             return None;
@@ -105,35 +105,35 @@
     }
 
     /// A batch is on the log, or was given up.
-    pub fn settled(&mut self, batch: &Batch) {
+    pub fn finish_batch(&mut self, batch: &Batch) {
         self.under_way.remove(&batch.number);
     }
 
-    /// When [`ClaimLog::next_batch`] gives one; `None`: nothing waits, or an entry is under way.
+    /// When [`ClaimBatcher::next_batch`] gives one; `None`: nothing waits, or an entry is under way.
     fn next_batch_at(&self) -> Option<u64> {
         let is_due = !self.waiting.is_empty() && self.under_way.len() < MOST_UNDER_WAY;
         is_due.then_some(self.next_at)
     }
 
     /// When there is something to do: a batch to begin, or a claim whose last moment has come, ms.
-    pub fn wake(&self) -> Option<u64> {
-        let until = self.waiting.front().map(|claim| claim.until);
+    pub fn next_deadline(&self) -> Option<u64> {
+        let until = self.waiting.front().map(|claim| claim.deadline);
         self.next_batch_at().into_iter().chain(until).min()
     }
 
     /// Takes out the claims whose last moment has come.
-    pub fn take_late(&mut self, now: u64) -> Vec<WaitingClaim> {
-        let late = self.waiting.partition_point(|claim| claim.until <= now);
+    pub fn drain_expired(&mut self, now: u64) -> Vec<WaitingClaim> {
+        let late = self.waiting.partition_point(|claim| claim.deadline <= now);
         self.waiting.drain(..late).collect()
     }
 
     /// Takes out all that wait: this member leads no more.
-    pub fn take_all(&mut self) -> Vec<WaitingClaim> {
+    pub fn drain_waiting(&mut self) -> Vec<WaitingClaim> {
         self.waiting.drain(..).collect()
     }
 
     /// This caller waits no more.
-    pub fn leave_off(&mut self, ticket: u64) {
+    pub fn cancel(&mut self, ticket: u64) {
         self.waiting.retain(|claim| claim.ticket != ticket);
     }
 }
--- a/crates/operations/src/generation_clock.rs
+++ b/crates/operations/src/generation_clock.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Records outlive the window by so much, ms: a request may be sent some seconds after its claim was granted.
-pub const MARGIN_MS: u64 = 30_000;
+pub const RETENTION_MARGIN_MS: u64 = 30_000;
 /// Generations that begin in one window.
 const GENERATIONS_A_WINDOW: u64 = 4;
 /// Least time for which a generation is open, ms.
@@ -37,7 +37,7 @@
     }
 
     /// What is due now by the state of the log; to be put on the log.
-    pub fn due(&mut self, now: u64, table: &OperationTable) -> Option<OperationsEntry> {
+    pub fn due_entry(&mut self, now: u64, table: &OperationTable) -> Option<OperationsEntry> {
         self.look(now, table);
         let entry =
             OperationsEntry { close: self.to_close(now), forget: self.to_forget(now), ..Default::default() };
@@ -45,24 +45,24 @@
     }
 
     /// For how long this leader has known the oldest generation to be closed, ms.
-    pub fn oldest_age(&self, now: u64) -> Option<u64> {
+    pub fn oldest_closed_ms(&self, now: u64) -> Option<u64> {
         self.closed.values().next().map(|since| now.saturating_sub(*since))
     }
 
     /// How old a generation is; `None`: it is open, or this leader hasn't looked at it yet.
     pub fn age(&self, now: u64, generation: u64) -> Option<GenerationAge> {
         let closed_ms = now.saturating_sub(*self.closed.get(&generation)?);
-        let forgotten_in_ms = (self.window_ms + MARGIN_MS).saturating_sub(closed_ms);
+        let forgotten_in_ms = (self.window_ms + RETENTION_MARGIN_MS).saturating_sub(closed_ms);
         Some(GenerationAge { closed_ms, forgotten_in_ms })
     }
 
     fn look(&mut self, now: u64, table: &OperationTable) {
-        let open = table.open();
+        let open = table.open_generation();
         if self.open.is_none_or(|(known, _)| known != open) {
             self.open = table.open_has_records().then_some((open, now));
         }
-        self.closed.retain(|generation, _| table.closed().contains(generation));
-        for generation in table.closed() {
+        self.closed.retain(|generation, _| table.closed_generations().contains(generation));
+        for generation in table.closed_generations() {
             self.closed.entry(generation).or_insert(now);
         }
     }
@@ -74,6 +74,6 @@
 
     fn to_forget(&self, now: u64) -> Option<u64> {
         let (oldest, since) = self.closed.first_key_value()?;
-        (now >= since + self.window_ms + MARGIN_MS).then_some(*oldest)
+        (now >= since + self.window_ms + RETENTION_MARGIN_MS).then_some(*oldest)
     }
 }
--- a/crates/operations/src/record.rs
+++ b/crates/operations/src/record.rs
@@ -31,7 +31,7 @@
 
 fn put_claimant(to: &mut Vec<u8>, claimant: &Claimant) {
     to.extend(claimant.host.octets());
-    to.extend(claimant.life.to_be_bytes());
+    to.extend(claimant.incarnation.to_be_bytes());
     to.extend(claimant.number.to_be_bytes());
 }
 
@@ -53,7 +53,7 @@
     fn claimant(&mut self) -> Claimant {
         Claimant {
             host: self.take::<4>().into(),
-            life: u64::from_be_bytes(self.take()),
+            incarnation: u64::from_be_bytes(self.take()),
             number: u64::from_be_bytes(self.take()),
         }
     }
--- a/crates/operations/src/table.rs
+++ b/crates/operations/src/table.rs
@@ -9,7 +9,7 @@
 use std::ops::Range;
 
 /// Claims that are remembered at most.
-pub const MOST_RECORDS: usize = 200_000;
+pub const MAX_RECORDS: usize = 200_000;
 
 /// Who holds an operation, by the newest claim that was granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,17 +38,17 @@
     }
 
     /// How many operations are claimed.
-    pub fn operations(&self) -> usize {
+    pub fn operation_count(&self) -> usize {
         self.holdings.len()
     }
 
     /// Claims that are remembered: more than there are operations where one was claimed in several generations.
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.generations.iter().map(|text| text.len() / CLAIM_CHARACTERS).sum()
     }
 
     /// Claims that are remembered in one generation.
-    pub fn records_in(&self, generation: u64) -> usize {
+    pub fn record_count_in(&self, generation: u64) -> usize {
         let at = generation.checked_sub(self.oldest).and_then(|at| usize::try_from(at).ok());
         let text = at.and_then(|at| self.generations.get(at));
         text.map_or(0, |text| text.len() / CLAIM_CHARACTERS)
@@ -56,16 +56,16 @@
 
     /// No more claims are granted until a generation is forgotten.
     pub fn is_full(&self) -> bool {
-        self.records() >= MOST_RECORDS
+        self.record_count() >= MAX_RECORDS
     }
 
     /// Numbers of the generations that are closed.
-    pub fn closed(&self) -> Range<u64> {
-        self.oldest..self.open()
+    pub fn closed_generations(&self) -> Range<u64> {
+        self.oldest..self.open_generation()
     }
 
     /// Number of the open generation.
-    pub fn open(&self) -> u64 {
+    pub fn open_generation(&self) -> u64 {
         self.oldest + (self.generations.len() as u64).saturating_sub(1)
     }
 
@@ -108,7 +108,7 @@
     }
 
     fn claim(&mut self, claim: &Claim, released: Option<Claimant>) {
-        let open = self.open();
+        let open = self.open_generation();
         let is_granted = match self.holdings.get(&claim.operation) {
             None => true,
             // Its holder repeats it: it is remembered from now on.
@@ -121,7 +121,7 @@
     }
 
     fn grant(&mut self, claim: &Claim) {
-        let holding = Holding { claimant: claim.claimant, generation: self.open() };
+        let holding = Holding { claimant: claim.claimant, generation: self.open_generation() };
         self.holdings.insert(claim.operation, holding);
         if self.generations.is_empty() {
             self.generations.push_back(String::new());
@@ -132,13 +132,13 @@
     }
 
     fn close(&mut self, generation: u64) {
-        if generation == self.open() && self.open_has_records() {
+        if generation == self.open_generation() && self.open_has_records() {
             self.generations.push_back(String::new());
         }
     }
 
     fn forget(&mut self, generation: u64) {
-        if generation != self.oldest || self.closed().is_empty() {
+        if generation != self.oldest || self.closed_generations().is_empty() {
             return;
         }
         let text = self.generations.pop_front().unwrap_or_default();
--- a/crates/operations/tests/limits.rs
+++ b/crates/operations/tests/limits.rs
@@ -2,11 +2,11 @@
 
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId};
 use nickeljunction_operations::{
-    Claim, ClaimLog, OperationTable, OperationsEntry, Takeover, WaitingClaim, MOST_RECORDS,
+    Claim, ClaimBatcher, OperationTable, OperationsEntry, Takeover, WaitingClaim, MAX_RECORDS,
 };
 
 fn claimant(number: u64) -> Claimant {
-    Claimant { host: [10, 3, 0, 9].into(), life: u64::MAX - number, number }
+    Claimant { host: [10, 3, 0, 9].into(), incarnation: u64::MAX - number, number }
 }
 
 fn claim(operation: usize, number: u64) -> Claim {
@@ -30,25 +30,25 @@
 #[test]
 fn a_full_table_grants_nothing_new_and_forgets_nothing_early() {
     let mut table = OperationTable::default();
-    table.apply(&claims((0..MOST_RECORDS).map(|one| claim(one, 1)).collect()));
+    table.apply(&claims((0..MAX_RECORDS).map(|one| claim(one, 1)).collect()));
     assert!(table.is_full());
     let takeover = Takeover { claim: claim(0, 2), released: claimant(1) };
-    let more = vec![claim(MOST_RECORDS, 1)];
+    let more = vec![claim(MAX_RECORDS, 1)];
     table.apply(&OperationsEntry { claims: more, takeovers: vec![takeover], ..Default::default() });
-    assert_eq!((table.operations(), table.records()), (MOST_RECORDS, MOST_RECORDS));
+    assert_eq!((table.operation_count(), table.record_count()), (MAX_RECORDS, MAX_RECORDS));
     assert_eq!(table.holder(claim(0, 1).operation), Some(claimant(1)));
     let answer = |operation, number, released| {
         let claim = claim(operation, number);
         let call = ClaimCall { operation: claim.operation, claimant: claim.claimant, released };
-        WaitingClaim { call, ticket: 1, until: 9 }.answer(9, &table)
+        WaitingClaim { call, ticket: 1, deadline: 9 }.answer(9, &table)
     };
     assert_eq!(answer(0, 1, None), Some(ClaimAnswer::Granted), "a repeat of its holder");
     assert_eq!(answer(0, 2, None), Some(ClaimAnswer::Held(claimant(1))));
     assert_eq!(answer(0, 2, Some(claimant(1))), Some(ClaimAnswer::Full));
-    assert_eq!(answer(MOST_RECORDS, 1, None), Some(ClaimAnswer::Full));
+    assert_eq!(answer(MAX_RECORDS, 1, None), Some(ClaimAnswer::Full));
     table.apply(&OperationsEntry { close: Some(0), ..Default::default() });
     table.apply(&OperationsEntry { forget: Some(0), ..Default::default() });
-    assert!(!table.is_full() && table.operations() == 0);
+    assert!(!table.is_full() && table.operation_count() == 0);
 }
 
 #[test]
@@ -57,20 +57,24 @@
     let close = |generation| OperationsEntry { close: Some(generation), ..Default::default() };
     let forget = |generation| OperationsEntry { forget: Some(generation), ..Default::default() };
     table.apply(&close(0));
-    assert!(table.closed().is_empty(), "an empty one stays open");
+    assert!(table.closed_generations().is_empty(), "an empty one stays open");
     table.apply(&claims(vec![claim(1, 1)]));
     table.apply(&forget(0));
-    assert_eq!(table.operations(), 1, "an open one is not forgotten");
+    assert_eq!(table.operation_count(), 1, "an open one is not forgotten");
     table.apply(&close(0));
     table.apply(&claims(vec![claim(2, 1)]));
     table.apply(&close(0));
-    assert_eq!((table.closed(), table.open()), (0..1, 1), "closed by two leaders, once");
+    assert_eq!(
+        (table.closed_generations(), table.open_generation()),
+        (0..1, 1),
+        "closed by two leaders, once"
+    );
     table.apply(&close(1));
     table.apply(&forget(1));
-    assert_eq!((table.closed(), table.operations()), (0..2, 2), "the oldest goes first");
+    assert_eq!((table.closed_generations(), table.operation_count()), (0..2, 2), "the oldest goes first");
     table.apply(&forget(0));
     table.apply(&forget(0));
-    assert_eq!((table.closed(), table.operations()), (1..2, 1));
+    assert_eq!((table.closed_generations(), table.operation_count()), (1..2, 1));
 }
 
 #[test]
@@ -78,32 +82,32 @@
     let mut table = OperationTable::default();
     table.apply(&claims(vec![claim(1, 1)]));
     let call = ClaimCall { operation: claim(1, 1).operation, claimant: claimant(1), released: None };
-    let waiting = WaitingClaim { call, ticket: 1, until: 600 };
+    let waiting = WaitingClaim { call, ticket: 1, deadline: 600 };
     assert_eq!(waiting.answer(600, &table), Some(ClaimAnswer::Granted));
     assert_eq!(waiting.answer(601, &table), None);
 }
 
 #[test]
 fn a_log_that_stands_still_takes_a_bounded_number_of_claims() {
-    let mut log = ClaimLog::default();
+    let mut log = ClaimBatcher::default();
     let waiting = |ticket: u64| WaitingClaim {
         call: ClaimCall { operation: OperationId(ticket.into()), claimant: claimant(ticket), released: None },
         ticket,
-        until: 600 + ticket,
+        deadline: 600 + ticket,
     };
-    let taken = (0..10_000).take_while(|ticket| log.note(waiting(*ticket))).count();
+    let taken = (0..10_000).take_while(|ticket| log.enqueue(waiting(*ticket))).count();
     assert_eq!(taken, 4_096);
     let batch = log.next_batch(0).expect("claims wait");
     assert_eq!(batch.claims.len(), 256);
     let left_off = batch.claims.len() as u64;
-    log.leave_off(left_off);
-    let late = log.take_late(900);
+    log.cancel(left_off);
+    let late = log.drain_expired(900);
     let tickets: Vec<u64> = late.iter().map(|claim| claim.ticket).collect();
     assert_eq!(tickets, (left_off + 1..=300).collect::<Vec<u64>>());
-    assert_eq!(log.wake(), Some(901));
+    assert_eq!(log.next_deadline(), Some(901));
     assert_eq!(log.next_batch(901), None, "one entry at a time");
-    log.settled(&batch);
-    assert_eq!(log.wake(), Some(10));
+    log.finish_batch(&batch);
+    assert_eq!(log.next_deadline(), Some(10));
 }
 
 #[test]
--- a/crates/operations/tests/reference.rs
+++ b/crates/operations/tests/reference.rs
@@ -2,7 +2,7 @@
 
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId};
 use nickeljunction_operations::{
-    Batch, ClaimLog, GenerationClock, OperationTable, OperationsEntry, WaitingClaim, MARGIN_MS,
+    Batch, ClaimBatcher, GenerationClock, OperationTable, OperationsEntry, WaitingClaim, RETENTION_MARGIN_MS,
 };
 use proptest::prelude::*;
 
@@ -58,7 +58,7 @@
 impl Known {
     /// Its claimant may run the operation, or have run it, and nobody else may.
     fn holds(&self, now: u64) -> bool {
-        !self.is_released && self.granted_at.is_some_and(|at| now < at + WINDOW_MS + MARGIN_MS)
+        !self.is_released && self.granted_at.is_some_and(|at| now < at + WINDOW_MS + RETENTION_MARGIN_MS)
     }
 }
 
@@ -68,7 +68,7 @@
     /// The leader's clock is ahead by so much.
     offset: u64,
     table: OperationTable,
-    log: ClaimLog,
+    log: ClaimBatcher,
     clock: GenerationClock,
     under_way: Option<Batch>,
     /// Given up, and yet to be on the log.
@@ -82,7 +82,7 @@
             now: 0,
             offset: 1 << 20,
             table: OperationTable::default(),
-            log: ClaimLog::default(),
+            log: ClaimBatcher::default(),
             clock: GenerationClock::new(WINDOW_MS),
             under_way: None,
             stray: Vec::new(),
@@ -105,9 +105,9 @@
             Act::Commit => self.commit(),
             Act::TimeOut(commits) => self.give_up(*commits),
             Act::Succeed(with, offset) => {
-                self.log.take_all();
+                self.log.drain_waiting();
                 self.give_up(*with);
-                self.log = ClaimLog::default();
+                self.log = ClaimBatcher::default();
                 self.offset = *offset;
                 self.clock = GenerationClock::new(WINDOW_MS);
                 self.apply_strays();
@@ -115,7 +115,7 @@
             Act::Pass(ms) => {
                 for _ in 0..ms / LOOK_MS {
                     self.now += LOOK_MS;
-                    let due = self.clock.due(self.now + self.offset, &self.table);
+                    let due = self.clock.due_entry(self.now + self.offset, &self.table);
                     due.into_iter().for_each(|entry| self.apply(&entry));
                 }
             }
@@ -128,7 +128,8 @@
     }
 
     fn claim(&mut self, operation: OperationId, released: Option<Claimant>) {
-        let claimant = Claimant { host: [10, 0, 0, 9].into(), life: 7, number: self.known.len() as u64 };
+        let claimant =
+            Claimant { host: [10, 0, 0, 9].into(), incarnation: 7, number: self.known.len() as u64 };
         let call = ClaimCall { operation, claimant, released };
         self.known.push(Known { call, granted_at: None, is_released: false });
         self.call(call);
@@ -137,7 +138,7 @@
     fn call(&mut self, call: ClaimCall) {
         self.now += ENTRY_EVERY_MS;
         let until = self.now + self.offset + PATIENCE_MS;
-        assert!(self.log.note(WaitingClaim { call, ticket: call.claimant.number, until }));
+        assert!(self.log.enqueue(WaitingClaim { call, ticket: call.claimant.number, deadline: until }));
         self.propose();
     }
 
@@ -151,8 +152,8 @@
         self.now += ENTRY_EVERY_MS;
         let Some(batch) = self.under_way.take() else { return self.propose() };
         self.apply_strays();
-        self.apply(&batch.entry());
-        self.log.settled(&batch);
+        self.apply(&batch.to_entry());
+        self.log.finish_batch(&batch);
         for claim in &batch.claims {
             self.check_answer(&claim.call, claim.answer(self.now + self.offset, &self.table));
         }
@@ -161,8 +162,8 @@
 
     fn give_up(&mut self, commits: bool) {
         let Some(batch) = self.under_way.take() else { return };
-        self.log.settled(&batch);
-        self.stray.extend(commits.then(|| batch.entry()));
+        self.log.finish_batch(&batch);
+        self.stray.extend(commits.then(|| batch.to_entry()));
         self.propose();
     }
 
@@ -218,9 +219,9 @@
         }
         // A leader that stays forgets all of it at last.
         world.give_up(false);
-        world.log.take_all();
-        world.act(&Act::Pass(2 * (WINDOW_MS + MARGIN_MS)));
-        prop_assert_eq!((world.table.operations(), world.table.records()), (0, 0));
+        world.log.drain_waiting();
+        world.act(&Act::Pass(2 * (WINDOW_MS + RETENTION_MARGIN_MS)));
+        prop_assert_eq!((world.table.operation_count(), world.table.record_count()), (0, 0));
     }
 }
 
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -96,7 +96,7 @@
 impl Pacer {
     /// A gateway's call: `name` of its machine, `life` drawn by its process, `seq` that rises, its demand and the shares that
     /// it goes by, requests a second. `pace` gives the paces of tenants that are slowed, `gateways` how many there are.
-    pub fn call(
+    pub fn allocate(
         &mut self,
         now: u64,
         (name, life, seq): (&str, u64, u64),
@@ -155,7 +155,7 @@
                 let demand = BTreeMap::from([(tenant, demand)]);
                 let pace = |_: &str| Some(PACE);
                 let who = (name.as_str(), at as u64, self.seq);
-                let answer = self.pacer.call(now, who, &demand, &held, pace, self.held.len());
+                let answer = self.pacer.allocate(now, who, &demand, &held, pace, self.held.len());
                 self.held[at] = answer.get("t").copied().unwrap_or(self.held[at]);
                 let all: f64 = self.pacer.shares(now, "t").values().sum();
                 assert!(all <= 1.5 * PACE + 1e-9, "shares add up to {all} at {now}");
--- a/crates/pacing/src/throttle.rs
+++ b/crates/pacing/src/throttle.rs
@@ -1,6 +1,6 @@
 //! The gateway's side: whether a request of a tenant whose trial has lapsed passes, is delayed, or is to be retried later.
 
-use crate::curve::{Curve, Rank, Step};
+use crate::stage_schedule::{Rank, StageEffect, StageSchedule};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A stage's delays are reached over so long, ms, so that two gateways which enter it at slightly different times behave
@@ -45,11 +45,11 @@
     /// In which order it gives way.
     pub rank: Rank,
     /// Time that it may be held, ms.
-    pub left_ms: f64,
+    pub remaining_ms: f64,
     /// Time that a server is expected to take, ms.
     pub expected_ms: f64,
     /// Its client has been told to come back before, as far as can be seen.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// What becomes of it.
@@ -57,13 +57,13 @@
 pub enum Verdict {
     /// It goes on at once.
     Pass,
-    /// It goes on at `until`, ms of the caller's clock; [`Throttle::done`] is told then, or when its client has gone.
-    Hold {
+    /// It goes on at `until`, ms of the caller's clock; [`Throttle::end_delay`] is told then, or when its client has gone.
+    Delay {
         /// That moment.
         until: f64,
     },
     /// It would be too late: its client is told at once, and has a place at that time.
-    ComeBack {
+    RetryLater {
         /// After so long, ms.
         retry_after_ms: f64,
     },
@@ -71,21 +71,21 @@
 
 /// How a tenant stands here, for operators.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Standing {
+pub struct TenantStatus {
     /// Who.
     pub tenant: String,
     /// Stage in force.
     pub stage: u32,
-    /// Step that it came with.
+    /// StageEffect that it came with.
     pub step: u64,
     /// Requests that wait.
     pub waiting: usize,
     /// Share of the pace, requests a second; infinite: not bound.
     pub per_s: f64,
     /// Requests that were held, and for how long in all, ms.
-    pub held: (u64, f64),
+    pub delayed: (u64, f64),
     /// Requests that were told to come back.
-    pub told: u64,
+    pub retry_later_count: u64,
 }
 
 /// Demand, requests a second, averaged over [`DEMAND_MS`].
@@ -168,17 +168,17 @@
 impl Lanes {
     fn place(&self, now: f64, rank: Rank, paces: Paces) -> f64 {
         match rank {
-            Rank::First => self.all.place(now, paces.all).min(self.floor.place(now, paces.floor)),
-            Rank::Later => self.reads.place(now, paces.reads),
-            Rank::Never => self.bookings.place(now, paces.all),
+            Rank::Deferrable => self.all.place(now, paces.all).min(self.floor.place(now, paces.floor)),
+            Rank::Interactive => self.reads.place(now, paces.reads),
+            Rank::Booking => self.bookings.place(now, paces.all),
         }
     }
 
     fn own(&mut self, rank: Rank, paces: Paces) -> (&mut Lane, f64) {
         match rank {
-            Rank::First => (&mut self.floor, paces.floor),
-            Rank::Later => (&mut self.reads, paces.reads),
-            Rank::Never => (&mut self.bookings, paces.all),
+            Rank::Deferrable => (&mut self.floor, paces.floor),
+            Rank::Interactive => (&mut self.reads, paces.reads),
+            Rank::Booking => (&mut self.bookings, paces.all),
         }
     }
 
@@ -216,8 +216,8 @@
 /// A tenant that is slowed, or was.
 #[derive(Debug, Clone)]
 struct Tenant {
-    curve: Option<Curve>,
-    /// Step and stage in force, and the stage before.
+    curve: Option<StageSchedule>,
+    /// StageEffect and stage in force, and the stage before.
     step: u64,
     stage: u32,
     before: u32,
@@ -266,7 +266,7 @@
             self.coming = None;
         }
         let paces = self.paces(now);
-        for rank in [Rank::First, Rank::Later, Rank::Never] {
+        for rank in [Rank::Deferrable, Rank::Interactive, Rank::Booking] {
             let away = &mut self.away[rank as usize];
             while away.front().is_some_and(|client| client.comes + KEPT_MS < now) {
                 if away.pop_front().is_some_and(|client| client.kept) {
@@ -297,16 +297,16 @@
         if away.len() < MOST_AWAY {
             away.push_back(Away { comes: now + retry_after_ms.min(returns_ms), kept });
         }
-        Verdict::ComeBack { retry_after_ms }
+        Verdict::RetryLater { retry_after_ms }
     }
 
-    fn step_of(&self, stage: u32) -> Step {
-        self.curve.as_ref().map_or(Step::NONE, |curve| curve.step(stage))
+    fn step_of(&self, stage: u32) -> StageEffect {
+        self.curve.as_ref().map_or(StageEffect::NONE, |curve| curve.effect(stage))
     }
 
     /// Added wait of a rank as it is now, on the way from the stage before.
     fn wait(&self, now: f64, rank: Rank) -> f64 {
-        let (from, to) = (self.step_of(self.before).wait(rank), self.step_of(self.stage).wait(rank));
+        let (from, to) = (self.step_of(self.before).wait_ms(rank), self.step_of(self.stage).wait_ms(rank));
         let part = ((now - self.entered) / RAMP_MS).clamp(0.0, 1.0);
         from + (to - from) * part
     }
@@ -320,12 +320,12 @@
     fn paces(&self, now: f64) -> Paces {
         // Waits alone slow until its demand is known, here and to the leader.
         let settled = now >= self.since + SETTLE_MS;
-        let all = self.share.min(self.step_of(self.stage).pace).max(LEAST_PER_S);
+        let all = self.share.min(self.step_of(self.stage).pace_per_s).max(LEAST_PER_S);
         if !settled || !all.is_finite() {
             return Paces { all: f64::INFINITY, floor: f64::INFINITY, reads: f64::INFINITY };
         }
         let floor = FLOOR_PART * all;
-        let bookings = self.demand[Rank::Never as usize].get(now);
+        let bookings = self.demand[Rank::Booking as usize].get(now);
         Paces { all, floor, reads: (all - bookings).max(floor) }
     }
 }
@@ -340,7 +340,7 @@
 impl Throttle {
     /// A trial as the leader told it: `step` rises with each change, `stage` holds from `in_ms` on. What is not higher than
     /// known is dropped: a gateway never goes back. Whether it was news.
-    pub fn told(&mut self, now: f64, tenant: &str, step: u64, stage: u32, in_ms: f64) -> bool {
+    pub fn set_stage(&mut self, now: f64, tenant: &str, step: u64, stage: u32, in_ms: f64) -> bool {
         let entry = self.tenants.entry(tenant.to_owned()).or_insert_with(Tenant::new);
         entry.advance(now);
         if step <= entry.coming.map_or(entry.step, |coming| coming.step) {
@@ -352,19 +352,19 @@
     }
 
     /// The curves in force, by a new configuration.
-    pub fn curves(&mut self, curve: impl Fn(&str) -> Option<Curve>) {
+    pub fn set_schedules(&mut self, curve: impl Fn(&str) -> Option<StageSchedule>) {
         for (name, tenant) in &mut self.tenants {
             tenant.curve = curve(name);
         }
     }
 
     /// Some tenant is slowed, or about to be.
-    pub fn active(&self, now: f64) -> bool {
+    pub fn is_slowing(&self, now: f64) -> bool {
         self.tenants.values().any(|tenant| tenant.slowed(now))
     }
 
     /// Shares of paces, as the leader answered; they hold until the next ones.
-    pub fn shares(&mut self, shares: &BTreeMap<String, f64>) {
+    pub fn set_shares(&mut self, shares: &BTreeMap<String, f64>) {
         for (name, per_s) in shares {
             if let Some(tenant) = self.tenants.get_mut(name).filter(|_| *per_s >= 0.0) {
                 tenant.share = *per_s;
@@ -373,7 +373,7 @@
     }
 
     /// Shares that are gone by, of tenants that are slowed.
-    pub fn shares_held(&self, now: f64) -> BTreeMap<String, f64> {
+    pub fn shares_in_use(&self, now: f64) -> BTreeMap<String, f64> {
         let slowed = self.tenants.iter().filter(|(_, tenant)| tenant.slowed(now) && tenant.share.is_finite());
         slowed.map(|(name, tenant)| (name.clone(), tenant.share)).collect()
     }
@@ -386,13 +386,13 @@
     }
 
     /// What becomes of a request of this tenant.
-    pub fn arrive(&mut self, now: f64, tenant: &str, arrival: &Arrival) -> Verdict {
+    pub fn admit(&mut self, now: f64, tenant: &str, arrival: &Arrival) -> Verdict {
         let Some(tenant) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
         tenant.advance(now);
         if !tenant.slowed(now) {
             return Verdict::Pass;
         }
-        let Arrival { rank, left_ms, expected_ms, again } = *arrival;
+        let Arrival { rank, remaining_ms: left_ms, expected_ms, is_retry: again } = *arrival;
         let free_ms = (left_ms - expected_ms - MARGIN_MS).max(0.0);
         // A short deadline may be a first try all the same: no more count as retries than were told to.
         let back = if again { tenant.take_returning(now, rank) } else { None };
@@ -414,10 +414,10 @@
         let until = place.max(now + wait);
         // A booking is not delayed; it may be a little ahead of the pace.
         let latest = match rank {
-            Rank::Never => now + BURST * 1_000.0 / paces.all,
+            Rank::Booking => now + BURST * 1_000.0 / paces.all,
             _ => now + free_ms.min(wait.max(PACE_PART * left_ms)),
         };
-        let at_once = rank == Rank::Never || until <= now + 1.0;
+        let at_once = rank == Rank::Booking || until <= now + 1.0;
         if until <= latest && at_once {
             tenant.lanes.take(now, rank, paces);
             return Verdict::Pass;
@@ -427,13 +427,13 @@
             tenant.waiting += 1;
             self.waiting += 1;
             tenant.held = (tenant.held.0 + 1, tenant.held.1 + (until - now));
-            return Verdict::Hold { until };
+            return Verdict::Delay { until };
         }
         tenant.turn_away(now, rank, place - now, left_ms, full)
     }
 
     /// A request that was held goes on, or its client has gone.
-    pub fn done(&mut self, tenant: &str) {
+    pub fn end_delay(&mut self, tenant: &str) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.waiting = tenant.waiting.saturating_sub(1);
         }
@@ -441,17 +441,17 @@
     }
 
     /// How each tenant that ever was slowed stands here.
-    pub fn standings(&mut self, now: f64) -> Vec<Standing> {
+    pub fn tenant_statuses(&mut self, now: f64) -> Vec<TenantStatus> {
         let tenants = self.tenants.iter_mut().map(|(name, tenant)| {
             tenant.advance(now);
-            Standing {
+            TenantStatus {
                 tenant: name.clone(),
                 stage: tenant.stage,
                 step: tenant.step,
                 waiting: tenant.waiting,
-                per_s: tenant.share.min(tenant.step_of(tenant.stage).pace),
-                held: tenant.held,
-                told: tenant.told,
+                per_s: tenant.share.min(tenant.step_of(tenant.stage).pace_per_s),
+                delayed: tenant.held,
+                retry_later_count: tenant.told,
             }
         });
         tenants.collect()
--- a/crates/pacing/tests/throttle.rs
+++ b/crates/pacing/tests/throttle.rs
@@ -1,7 +1,7 @@
 //! Gradual throttling over nine gateways in virtual time: clients that send steadily, come back as they are told, and leave; gateways that ask
 //! the leader for shares each half second, are cut off, die and come anew.
 
-use nickeljunction_pacing::{Arrival, Curve, Pacer, Rank, Throttle, Verdict};
+use nickeljunction_pacing::{Arrival, Pacer, Rank, StageSchedule, Throttle, Verdict};
 use nickeljunction_schema::Document;
 use proptest::prelude::*;
 use std::cmp::Reverse;
@@ -10,15 +10,15 @@
 const TENANT: &str = "corner";
 const SERVICE_MS: f64 = 100.0;
 const LEFT_MS: f64 = 3_000.0;
-const RANKS: [Rank; 3] = [Rank::First, Rank::Later, Rank::Never];
+const RANKS: [Rank; 3] = [Rank::Deferrable, Rank::Interactive, Rank::Booking];
 
 /// A curve with these stages (s, wait, wait of reads, part of a rate of 100 a second).
-fn curve(stages: &[(f64, f64, f64, f64)]) -> Curve {
+fn curve(stages: &[(f64, f64, f64, f64)]) -> StageSchedule {
     let stage = |(for_s, wait_s, read_wait_s, pace): &(f64, f64, f64, f64)| serde_json::json!({"for_s": for_s, "wait_s": wait_s, "read_wait_s": read_wait_s, "pace": pace});
     let raw = serde_json::json!({"config_version": 1, "routes": {}, "backends": {},
         "tenants": {TENANT: {"api_keys": ["k"], "rate_per_s": 100}},
         "trials": {TENANT: {"floor_per_s": 5, "stages": stages.iter().map(stage).collect::<Vec<_>>()}}});
-    Curve::of(Document::of(raw).expect("valid").config(), TENANT)
+    StageSchedule::for_tenant(Document::of(raw).expect("valid").config(), TENANT)
 }
 
 /// A try under way to a gateway.
@@ -50,7 +50,7 @@
     seed: u64,
     rng: fastrand::Rng,
     now: f64,
-    curve: Curve,
+    curve: StageSchedule,
     throttles: Vec<Throttle>,
     lives: Vec<u64>,
     cut: Vec<bool>,
@@ -68,7 +68,7 @@
 }
 
 impl World {
-    fn new(seed: u64, curve: Curve, weights: Vec<f64>, rates: [f64; 3]) -> World {
+    fn new(seed: u64, curve: StageSchedule, weights: Vec<f64>, rates: [f64; 3]) -> World {
         let size = weights.len();
         let mut world = World {
             seed,
@@ -103,9 +103,9 @@
         if !self.cut[at] && step > 0 {
             // On its way for up to 20 ms.
             let late = self.rng.f64() * 20.0;
-            self.throttles[at].told(self.now + late, TENANT, step, stage, (in_ms - late).max(0.0));
+            self.throttles[at].set_stage(self.now + late, TENANT, step, stage, (in_ms - late).max(0.0));
             let curve = &self.curve;
-            self.throttles[at].curves(|_| Some(curve.clone()));
+            self.throttles[at].set_schedules(|_| Some(curve.clone()));
         }
     }
 
@@ -120,12 +120,13 @@
             return;
         }
         self.seq += 1;
-        let (demand, held) = (self.throttles[at].demand(self.now), self.throttles[at].shares_held(self.now));
-        let (name, pace) = (format!("edge-{at}"), self.curve.step(self.stage.1).pace);
+        let (demand, held) =
+            (self.throttles[at].demand(self.now), self.throttles[at].shares_in_use(self.now));
+        let (name, pace) = (format!("edge-{at}"), self.curve.effect(self.stage.1).pace_per_s);
         let who = (name.as_str(), self.lives[at], self.seq);
         let size = self.throttles.len();
-        let answer = self.pacer.call(self.now as u64, who, &demand, &held, |_| Some(pace), size);
-        self.throttles[at].shares(&answer);
+        let answer = self.pacer.allocate(self.now as u64, who, &demand, &held, |_| Some(pace), size);
+        self.throttles[at].set_shares(&answer);
     }
 
     fn push(&mut self, try_: Try) {
@@ -172,21 +173,21 @@
     fn arrive(&mut self, try_: Try) {
         let Try { at, rank, left_ms, tries, first, .. } = try_;
         let again = tries > 0;
-        let arrival = Arrival { rank, left_ms, expected_ms: SERVICE_MS, again };
+        let arrival = Arrival { rank, remaining_ms: left_ms, expected_ms: SERVICE_MS, is_retry: again };
         let came = self.now;
         let end = |until: Option<f64>| {
             let wait_ms = until.map(|until| until - first.1);
             End { at: first.0, rank, came: first.1, wait_ms, again }
         };
-        match self.throttles[at].arrive(came, TENANT, &arrival) {
+        match self.throttles[at].admit(came, TENANT, &arrival) {
             Verdict::Pass => self.ends.push(end(Some(came))),
-            Verdict::Hold { until } => {
+            Verdict::Delay { until } => {
                 assert!(until + SERVICE_MS <= came + left_ms, "seed {}: held beyond its time", self.seed);
-                assert!(rank != Rank::Never, "seed {}: a booking was held", self.seed);
-                self.throttles[at].done(TENANT);
+                assert!(rank != Rank::Booking, "seed {}: a booking was held", self.seed);
+                self.throttles[at].end_delay(TENANT);
                 self.ends.push(end(Some(until)));
             }
-            Verdict::ComeBack { retry_after_ms } => {
+            Verdict::RetryLater { retry_after_ms } => {
                 self.told += 1;
                 let pause = retry_after_ms.min(left_ms / 3.0);
                 if tries >= 2 {
@@ -250,7 +251,7 @@
         world.enter(2);
         world.run(13_000.0);
         assert!(
-            world.throttles[4].standings(world.now)[0].stage == 1,
+            world.throttles[4].tenant_statuses(world.now)[0].stage == 1,
             "who is cut off keeps the stage it knows"
         );
         (world.cut[4], world.cut[8]) = (false, false);
@@ -266,17 +267,17 @@
             (15_000.0, 20_000.0, 250.0, 50.0),
             (22_000.0, 30_000.0, 500.0, 120.0),
         ] {
-            let waits = world.waits(Rank::First, from, to);
+            let waits = world.waits(Rank::Deferrable, from, to);
             assert!(jain(&waits) >= 0.98, "seed {seed}, from {from}: {waits:?}");
-            let mean = world.mean(Rank::First, from, to);
+            let mean = world.mean(Rank::Deferrable, from, to);
             assert!((mean - first).abs() < 0.1 * first, "seed {seed}, from {from}: {mean}");
-            let mean = world.mean(Rank::Later, from, to);
+            let mean = world.mean(Rank::Interactive, from, to);
             assert!((mean - reads).abs() < 10.0, "seed {seed}, from {from}: reads {mean}");
         }
         // At five sixths of its pace next to nobody has to come back, at small gateways either.
         let (told, all) = (world.told, world.ends.len() as u64);
         assert!(told * 100 <= all, "seed {seed}: {told} of {all} told to come back");
-        assert!(world.mean(Rank::Never, 0.0, 30_000.0) < 0.1, "seed {seed}: bookings wait for nothing");
+        assert!(world.mean(Rank::Booking, 0.0, 30_000.0) < 0.1, "seed {seed}: bookings wait for nothing");
     }
 }
 
@@ -308,7 +309,7 @@
             least >= 5.0 && (60.0..77.0).contains(&mean),
             "seed {seed}: {least} at least, {mean}: {seconds:?}"
         );
-        let waits = world.waits(Rank::First, 8_000.0, 40_000.0);
+        let waits = world.waits(Rank::Deferrable, 8_000.0, 40_000.0);
         assert!(jain(&waits) >= 0.98, "seed {seed}: {waits:?}");
     }
 }
@@ -343,14 +344,19 @@
 #[test]
 fn a_short_deadline_alone_lets_nobody_pass() {
     let mut throttle = Throttle::default();
-    throttle.told(0.0, TENANT, 1, 1, 0.0);
-    throttle.curves(|_| Some(curve(&[(60.0, 0.4, 0.1, 1.0)])));
+    throttle.set_stage(0.0, TENANT, 1, 1, 0.0);
+    throttle.set_schedules(|_| Some(curve(&[(60.0, 0.4, 0.1, 1.0)])));
     for number in 0..200 {
         let now = 2_000.0 + 50.0 * f64::from(number);
         let left_ms = 2_000.0 + 10.0 * f64::from(number % 200);
-        let arrival = Arrival { rank: Rank::First, left_ms, expected_ms: 100.0, again: number % 4 != 0 };
-        assert_eq!(throttle.arrive(now, TENANT, &arrival), Verdict::Hold { until: now + 400.0 });
-        throttle.done(TENANT);
+        let arrival = Arrival {
+            rank: Rank::Deferrable,
+            remaining_ms: left_ms,
+            expected_ms: 100.0,
+            is_retry: number % 4 != 0,
+        };
+        assert_eq!(throttle.admit(now, TENANT, &arrival), Verdict::Delay { until: now + 400.0 });
+        throttle.end_delay(TENANT);
     }
 }
 
@@ -359,53 +365,55 @@
     let mut throttle = Throttle::default();
     let stages = [(9.0, 0.1, 0.0, 1.0), (9.0, 0.4, 0.1, 1.0), (9.0, 0.8, 0.2, 1.0)];
     let slow = |throttle: &mut Throttle, now: f64| {
-        throttle.curves(|_| Some(curve(&stages)));
-        let arrival = Arrival { rank: Rank::First, left_ms: 9_000.0, expected_ms: 10.0, again: false };
-        match throttle.arrive(now, TENANT, &arrival) {
-            Verdict::Hold { until } => {
-                throttle.done(TENANT);
+        throttle.set_schedules(|_| Some(curve(&stages)));
+        let arrival =
+            Arrival { rank: Rank::Deferrable, remaining_ms: 9_000.0, expected_ms: 10.0, is_retry: false };
+        match throttle.admit(now, TENANT, &arrival) {
+            Verdict::Delay { until } => {
+                throttle.end_delay(TENANT);
                 until - now
             }
             Verdict::Pass => 0.0,
             told => panic!("{told:?}"),
         }
     };
-    assert!(!throttle.active(0.0) && slow(&mut throttle, 0.0) == 0.0);
-    assert!(throttle.told(0.0, TENANT, 1, 1, 300.0));
+    assert!(!throttle.is_slowing(0.0) && slow(&mut throttle, 0.0) == 0.0);
+    assert!(throttle.set_stage(0.0, TENANT, 1, 1, 300.0));
     assert_eq!(slow(&mut throttle, 299.0), 0.0, "before its moment");
     assert_eq!(slow(&mut throttle, 2_000.0), 100.0);
     // It stood still while two stages passed, and wakes in the third; the second's word comes late.
-    assert!(throttle.told(30_000.0, TENANT, 3, 3, 0.0));
-    assert!(!throttle.told(30_001.0, TENANT, 2, 2, 0.0), "a word of before leads back");
+    assert!(throttle.set_stage(30_000.0, TENANT, 3, 3, 0.0));
+    assert!(!throttle.set_stage(30_001.0, TENANT, 2, 2, 0.0), "a word of before leads back");
     assert_eq!(slow(&mut throttle, 30_500.0), 450.0, "half way between the stages");
     assert_eq!(slow(&mut throttle, 32_000.0), 800.0);
     // Restored: down again over the ramp, and no step.
-    assert!(throttle.told(40_000.0, TENANT, 4, 0, 0.0));
+    assert!(throttle.set_stage(40_000.0, TENANT, 4, 0, 0.0));
     let mut last = 800.0;
     for at in 1..=10 {
         let wait = slow(&mut throttle, 40_000.0 + 100.0 * f64::from(at));
         assert!(wait <= last && last - wait < 81.0, "{last} {wait}");
         last = wait;
     }
-    assert!(!throttle.active(41_000.0));
-    assert!(throttle.told(41_100.0, TENANT, 5, 1, 0.0) && throttle.active(41_100.0));
+    assert!(!throttle.is_slowing(41_000.0));
+    assert!(throttle.set_stage(41_100.0, TENANT, 5, 1, 0.0) && throttle.is_slowing(41_100.0));
     assert_eq!(slow(&mut throttle, 43_000.0), 100.0);
 }
 
 #[test]
 fn a_thousand_lapsed_tenants_hold_a_bounded_number_of_requests() {
     let mut throttle = Throttle::default();
-    let arrival = Arrival { rank: Rank::First, left_ms: 2_000.0, expected_ms: 100.0, again: false };
+    let arrival =
+        Arrival { rank: Rank::Deferrable, remaining_ms: 2_000.0, expected_ms: 100.0, is_retry: false };
     let (mut held, mut told) = (0, 0);
     for tenant in 0..1_000 {
-        throttle.told(0.0, &tenant.to_string(), 1, 1, 0.0);
+        throttle.set_stage(0.0, &tenant.to_string(), 1, 1, 0.0);
     }
-    throttle.curves(|_| Some(curve(&[(9.0, 0.5, 0.1, 1.0)])));
+    throttle.set_schedules(|_| Some(curve(&[(9.0, 0.5, 0.1, 1.0)])));
     for tenant in 0..1_000 {
         for _ in 0..3 {
-            match throttle.arrive(2_000.0, &tenant.to_string(), &arrival) {
-                Verdict::Hold { .. } => held += 1,
-                Verdict::ComeBack { retry_after_ms } => {
+            match throttle.admit(2_000.0, &tenant.to_string(), &arrival) {
+                Verdict::Delay { .. } => held += 1,
+                Verdict::RetryLater { retry_after_ms } => {
                     assert!(retry_after_ms > 0.0);
                     told += 1;
                 }
@@ -414,11 +422,11 @@
         }
     }
     assert_eq!((held, told), (256, 2_744));
-    assert_eq!(throttle.arrive(2_000.0, "other", &arrival), Verdict::Pass, "who never lapsed feels nothing");
-    let last = Arrival { rank: Rank::Never, ..arrival };
-    assert_eq!(throttle.arrive(2_000.0, "0", &last), Verdict::Pass, "a booking needs no place in the queue");
-    (0..256).for_each(|_| throttle.done("0"));
-    assert!(matches!(throttle.arrive(2_000.0, "999", &arrival), Verdict::Hold { .. }));
+    assert_eq!(throttle.admit(2_000.0, "other", &arrival), Verdict::Pass, "who never lapsed feels nothing");
+    let last = Arrival { rank: Rank::Booking, ..arrival };
+    assert_eq!(throttle.admit(2_000.0, "0", &last), Verdict::Pass, "a booking needs no place in the queue");
+    (0..256).for_each(|_| throttle.end_delay("0"));
+    assert!(matches!(throttle.admit(2_000.0, "999", &arrival), Verdict::Delay { .. }));
 }
 
 proptest! {
@@ -431,19 +439,19 @@
         calls in proptest::collection::vec((0u8..3, 0.0f64..4_000.0, 0.0f64..900.0, any::<bool>(), 0.0f64..300.0), 1..120),
     ) {
         let mut throttle = Throttle::default();
-        throttle.told(0.0, TENANT, 1, 2, 0.0);
-        throttle.curves(|_| Some(curve(&[(9.0, 0.1, 0.0, 1.0), (9.0, 0.9, 0.4, 0.4)])));
-        throttle.shares(&BTreeMap::from([(TENANT.to_string(), share)]));
+        throttle.set_stage(0.0, TENANT, 1, 2, 0.0);
+        throttle.set_schedules(|_| Some(curve(&[(9.0, 0.1, 0.0, 1.0), (9.0, 0.9, 0.4, 0.4)])));
+        throttle.set_shares(&BTreeMap::from([(TENANT.to_string(), share)]));
         let mut now = 0.0;
         for (rank, left_ms, expected_ms, again, gap) in calls {
             now += gap;
             let rank = RANKS[usize::from(rank)];
-            match throttle.arrive(now, TENANT, &Arrival { rank, left_ms, expected_ms, again }) {
+            match throttle.admit(now, TENANT, &Arrival { rank, remaining_ms: left_ms, expected_ms, is_retry: again }) {
                 Verdict::Pass => {}
-                Verdict::Hold { until } => {
-                    prop_assert!(rank != Rank::Never && until > now && until + expected_ms <= now + left_ms);
+                Verdict::Delay { until } => {
+                    prop_assert!(rank != Rank::Booking && until > now && until + expected_ms <= now + left_ms);
                 }
-                Verdict::ComeBack { retry_after_ms } => prop_assert!((20.0..=30_000.0).contains(&retry_after_ms)),
+                Verdict::RetryLater { retry_after_ms } => prop_assert!((20.0..=30_000.0).contains(&retry_after_ms)),
             }
         }
     }
--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -562,10 +562,17 @@
     fn call(&mut self, now: u64, end: bool) -> UnitsCall {
         self.seq += 1;
         let all = self.report_all;
-        let mut call = UnitsCall { life: self.life, seq: self.seq, all, end, ..UnitsCall::default() };
+        let mut call = UnitsCall {
+            incarnation: self.life,
+            seq: self.seq,
+            is_full_report: all,
+            is_final: end,
+            ..UnitsCall::default()
+        };
         if all {
-            (call.name, call.born_ms, call.to) = (self.name.clone(), now - self.started, self.term);
-            call.tells_boosted = true;
+            (call.name, call.uptime_ms, call.counter_term) =
+                (self.name.clone(), now - self.started, self.term);
+            call.reports_boosted = true;
         }
         let tuning = &self.tuning;
         for (tenant, batch) in &mut self.batches {
@@ -578,15 +585,15 @@
             if (!all && want + boost == 0 && known) || (batch.limit.is_none() && known && loan == 0) {
                 continue;
             }
-            let mut units = TenantUnits { loan, want, boost, ..TenantUnits::default() };
-            units.first = want > 0 && !batch.has_first_units;
+            let mut units = TenantUnits { loan, requested: want, boost, ..TenantUnits::default() };
+            units.is_first_fetch = want > 0 && !batch.has_first_units;
             if all {
                 let pace = batch.pace(now);
                 units.pace = if pace > loan { pace } else { 0 };
-                units.least = batch.least.get(now, tuning.window_ms, pace, u64::min);
+                units.min_pace = batch.least.get(now, tuning.window_ms, pace, u64::min);
                 let most = batch.most.get(now, tuning.span_ms(), pace, u64::max);
-                units.most = if most > pace.max(loan) { most } else { 0 };
-                units.over = loan - batch.loan;
+                units.max_pace = if most > pace.max(loan) { most } else { 0 };
+                units.unspendable = loan - batch.loan;
                 units.boosted = batch.boosts.sum();
             }
             batch.call_loan = Some(loan);
@@ -641,7 +648,7 @@
         self.open_call = None;
         let news = self.note_term(answer.term);
         (self.pause, self.no_call_until) = (FIRST_PAUSE_MS, None);
-        if answer.tell {
+        if answer.full_report_needed {
             self.batches.values_mut().for_each(|batch| batch.call_loan = None);
             // Asked for a full report though the call was one, and for this counter: not again at once.
             if self.report_all && !news {
@@ -671,7 +678,7 @@
     fn take(tuning: &Tuning, receipt: Receipt, batch: &mut Batch, grant: &TenantGrant) {
         let Receipt { now, sent, valid } = receipt;
         batch.remaining = grant.remaining;
-        batch.room = grant.room.map_or(grant.remaining, |room| room.min(grant.remaining));
+        batch.room = grant.pace_headroom.map_or(grant.remaining, |room| room.min(grant.remaining));
         let waited = batch.waiting + batch.refused > 0;
         (batch.waiting, batch.refused) = (0, 0);
         batch.age(now, tuning);
@@ -685,8 +692,8 @@
                 batch.set_loan(now, tuning, loan);
             }
         }
-        if grant.lift > 0 && valid {
-            (batch.lift, batch.lift_until) = (grant.lift, sent + tuning.lift_ms);
+        if grant.initial_pace > 0 && valid {
+            (batch.lift, batch.lift_until) = (grant.initial_pace, sent + tuning.lift_ms);
             batch.note_pace(now, tuning);
         }
         if grant.boost > 0 && valid && now <= sent + tuning.answer_ms {
--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -286,11 +286,15 @@
     /// What must be committed to the replicated log before [`Counter::call`] lends to this life. Once it is:
     /// [`Counter::logged`], and then [`Counter::came`].
     pub fn before(&mut self, now: u64, call: &UnitsCall) -> Option<Roll> {
-        if !call.all || call.end || call.to != self.term || self.is_logged(call.life) {
+        if !call.is_full_report
+            || call.is_final
+            || call.counter_term != self.term
+            || self.is_logged(call.incarnation)
+        {
             return None;
         }
-        self.coming.insert(call.life, now);
-        Some(Roll { come: BTreeMap::from([(call.life, call.name.clone())]), gone: Vec::new() })
+        self.coming.insert(call.incarnation, now);
+        Some(Roll { come: BTreeMap::from([(call.incarnation, call.name.clone())]), gone: Vec::new() })
     }
 
     /// A life that [`Counter::before`] named is committed, after all that was proposed before.
@@ -375,32 +379,34 @@
         self.tick(now);
         let mut answer = UnitsAnswer { seq: call.seq, term: self.term, ..UnitsAnswer::default() };
         // Overtaken by a newer call, or duplicated: the newer call's figures stand, and nothing is lent twice.
-        if self.lives.get(&call.life).is_some_and(|life| life.seq >= call.seq)
+        if self.lives.get(&call.incarnation).is_some_and(|life| life.seq >= call.seq)
             && self.tuning.keeps(Guard::Order)
         {
             return answer;
         }
         // The same after its end: an old figure must not stand in place of what its spent units hold back.
-        if self.ended.get(&call.life).is_some_and(|ended| ended.seq >= call.seq) {
+        if self.ended.get(&call.incarnation).is_some_and(|ended| ended.seq >= call.seq) {
             return answer;
         }
         // Told to another counter: more may have been lent since.
-        if call.all && call.to != self.term && self.tuning.keeps(Guard::Meant) {
-            answer.tell = true;
+        if call.is_full_report && call.counter_term != self.term && self.tuning.keeps(Guard::Meant) {
+            answer.full_report_needed = true;
             return answer;
         }
-        if !call.all && !self.lives.contains_key(&call.life) || !self.is_logged(call.life) {
-            answer.tell = true;
+        if !call.is_full_report && !self.lives.contains_key(&call.incarnation)
+            || !self.is_logged(call.incarnation)
+        {
+            answer.full_report_needed = true;
             return answer;
         }
         let registered = self.register(now, call);
         if registered == Registered::Superseded {
-            answer.tell = true;
+            answer.full_report_needed = true;
             return answer;
         }
         self.record_report(now, call, registered == Registered::FromOlderCounter);
-        if call.end {
-            self.end(call.life, now);
+        if call.is_final {
+            self.end(call.incarnation, now);
             return answer;
         }
         let gateways = gateways.max(self.logged_machines) as u64;
@@ -412,7 +418,7 @@
             self.books.iter().filter(concerned).map(|(tenant, _)| tenant.clone()).collect();
         for tenant in tenants {
             let told = call.tenants.get(&tenant);
-            if let Some(grant) = self.grant(now, call.life, &tenant, told, gateways) {
+            if let Some(grant) = self.grant(now, call.incarnation, &tenant, told, gateways) {
                 answer.tenants.insert(tenant, grant);
             }
         }
@@ -421,11 +427,11 @@
 
     /// Notes that the process runs, and that earlier ones of its machine ended before its start.
     fn register(&mut self, now: u64, call: &UnitsCall) -> Registered {
-        if let Some(life) = self.lives.get_mut(&call.life) {
+        if let Some(life) = self.lives.get_mut(&call.incarnation) {
             (life.seq, life.heard) = (call.seq, now);
             return Registered::Known;
         }
-        let born = now.saturating_sub(call.born_ms);
+        let born = now.saturating_sub(call.uptime_ms);
         let earlier = self.lives_of(&call.name);
         // A late call of a process that has a successor.
         if earlier.iter().any(|life| life.born > born) {
@@ -435,13 +441,15 @@
             self.end(life.number, born.max(life.heard));
         }
         // One that was taken to have ended has not: what it tells stands in place of that.
-        if self.ended.remove(&call.life).is_some() {
-            self.books.values_mut().for_each(|book| book.held_back.retain(|held| held.life != call.life));
+        if self.ended.remove(&call.incarnation).is_some() {
+            self.books
+                .values_mut()
+                .for_each(|book| book.held_back.retain(|held| held.life != call.incarnation));
         }
         let life = Life { name: call.name.clone(), born, seq: call.seq, heard: now, lent: BTreeMap::new() };
-        self.lives.insert(call.life, life);
+        self.lives.insert(call.incarnation, life);
         let unreported =
-            |takeover: &mut Takeover| takeover.reported(call.life, &call.name, born, &self.tuning);
+            |takeover: &mut Takeover| takeover.reported(call.incarnation, &call.name, born, &self.tuning);
         match self.takeover.as_mut().is_some_and(unreported) {
             true => Registered::FromOlderCounter,
             false => Registered::Known,
@@ -457,7 +465,7 @@
 
     /// Takes over what the process reports.
     fn record_report(&mut self, now: u64, call: &UnitsCall, first: bool) {
-        let Some(life) = self.lives.get_mut(&call.life) else { return };
+        let Some(life) = self.lives.get_mut(&call.incarnation) else { return };
         let span_ms = self.tuning.span_ms();
         for (tenant, told) in &call.tenants {
             let Some(book) = self.books.get_mut(tenant) else { continue };
@@ -466,15 +474,15 @@
                 None => {
                     let lent = life.lent.entry(tenant.clone()).or_insert_with(|| Lent::new(&self.tuning));
                     let most = self.tuning.boost_of(book.limit.cap);
-                    let boosted = if call.tells_boosted { told.boosted } else { most };
+                    let boosted = if call.reports_boosted { told.boosted } else { most };
                     lent.boosts.book(now, boosted.min(told.loan));
                     if told.pace > told.loan {
                         (lent.lift, lent.lift_until) = (told.pace, now + self.tuning.lift_ms);
                     }
                     if let Some(takeover) = self.takeover.as_mut().filter(|_| first) {
                         // What it spent before a limit was lowered is no part of what all may have under the new one.
-                        let loan = told.loan.saturating_sub(told.over);
-                        takeover.add_report(tenant, loan, told.pace.max(loan), told.least);
+                        let loan = told.loan.saturating_sub(told.unspendable);
+                        takeover.add_report(tenant, loan, told.pace.max(loan), told.min_pace);
                     }
                     lent
                 }
@@ -482,10 +490,10 @@
             let before = lent.pace(now);
             book.out = book.out - lent.loan + told.loan;
             lent.loan = told.loan;
-            book.count(now, call.life, lent);
+            book.count(now, call.incarnation, lent);
             let pace = lent.pace(now);
             // What it spent under an older counter may have been at a higher pace.
-            lent.peak.note(now, span_ms, before.max(told.most), pace, u64::max);
+            lent.peak.note(now, span_ms, before.max(told.max_pace), pace, u64::max);
         }
         for tenant in call.tenants.keys() {
             self.settle_unused(now, tenant);
@@ -503,7 +511,7 @@
         let Limit { cap, pace: most } = self.books.get(tenant)?.limit;
         let on_demand = self.tuning.lends_on_demand(cap, gateways);
         // It gives back.
-        if on_demand && told.is_some_and(|told| told.want + told.boost == 0) {
+        if on_demand && told.is_some_and(|told| told.requested + told.boost == 0) {
             return None;
         }
         let used = self.used_now(now, tenant);
@@ -518,8 +526,8 @@
             true => 0,
             false => (cap / (2 * gateways.max(FEW_GATEWAYS))).max(2),
         };
-        let first = told.is_some_and(|told| told.first);
-        let (want, boost) = told.map_or((0, 0), |told| (told.want, told.boost));
+        let first = told.is_some_and(|told| told.is_first_fetch);
+        let (want, boost) = told.map_or((0, 0), |told| (told.requested, told.boost));
         let free = remaining.min(room);
         let plenty = free * 2 >= cap;
         // Of what is plenty each may have its share: a rise finds it there.
@@ -555,7 +563,7 @@
         self.settle_unused(now, tenant);
         let (remaining, room) = (remaining - granted, room - granted);
         let room = (room < remaining).then_some(room);
-        Some(TenantGrant { granted, remaining, room, boost: allowed, lift })
+        Some(TenantGrant { granted, remaining, pace_headroom: room, boost: allowed, initial_pace: lift })
     }
 
     /// What remains, in coarse parts of the cap: as gateways size their batches by it.
@@ -598,18 +606,26 @@
             let loan = |dice: &mut fastrand::Rng| dice.u64(..40);
             let told = |dice: &mut fastrand::Rng| TenantUnits {
                 loan: loan(dice),
-                want: dice.u64(..20),
-                first: dice.u32(..8) == 0,
+                requested: dice.u64(..20),
+                is_first_fetch: dice.u32(..8) == 0,
                 ..TenantUnits::default()
             };
             let named = TENANTS.iter().filter(|_| dice.bool()).collect::<Vec<_>>();
             let tenants = named.into_iter().map(|name| (name.to_string(), told(&mut dice))).collect();
             let (all_told, end) = (!counter.lives.contains_key(&life), dice.u32(..50) == 0);
             let name = format!("g-{life}");
-            let call =
-                UnitsCall { life, seq, all: all_told, name, to: 1, end, tenants, ..UnitsCall::default() };
+            let call = UnitsCall {
+                incarnation: life,
+                seq,
+                is_full_report: all_told,
+                name,
+                counter_term: 1,
+                is_final: end,
+                tenants,
+                ..UnitsCall::default()
+            };
             let answer = counter.call(now, &call, 6);
-            lifted += answer.tenants.values().filter(|grant| grant.lift > 0).count();
+            lifted += answer.tenants.values().filter(|grant| grant.initial_pace > 0).count();
             if seq % 500 == 0 {
                 counter
                     .limits(now, &all(if seq % 1_000 == 0 { 400 } else { 0 }).into_iter().take(2).collect());
--- a/crates/quota/tests/calls.rs
+++ b/crates/quota/tests/calls.rs
@@ -36,7 +36,7 @@
     if let Some(roll) = counter.before(now, call) {
         log.extend(roll.come);
         counter.logged(log);
-        counter.came(call.life);
+        counter.came(call.incarnation);
     }
     counter.call(now, call, gateways)
 }
@@ -45,9 +45,9 @@
 fn lost_answer_and_second_copy_lend_nothing_twice() {
     let (mut counter, mut allowance, mut log) = pair(80);
     let first = allowance.poll(0).unwrap();
-    assert!(counter.call(5, &first, 4).tell, "nothing for one that isn't on the log");
+    assert!(counter.call(5, &first, 4).full_report_needed, "nothing for one that isn't on the log");
     let lost = call(&mut counter, &mut log, 5, &first, 4);
-    assert_eq!((lost.tenants["t"].granted, lost.tenants["t"].lift), (10, 10));
+    assert_eq!((lost.tenants["t"].granted, lost.tenants["t"].initial_pace), (10, 10));
     assert_eq!(allowance.spend(6, "t"), Spend::Wait);
     allowance.failed(250);
     assert_eq!(allowance.spend(251, "t"), Spend::Wait, "its first units are on their way");
@@ -118,7 +118,8 @@
         seq += 1;
         let tenants =
             BTreeMap::from([("t".to_owned(), TenantUnits { loan: 10, boost, ..Default::default() })]);
-        counter.call(now, &UnitsCall { life: 7, seq, tenants, ..Default::default() }, 4).tenants["t"].boost
+        counter.call(now, &UnitsCall { incarnation: 7, seq, tenants, ..Default::default() }, 4).tenants["t"]
+            .boost
     };
     assert_eq!([allowed(20, 9), allowed(40, 9), allowed(60, 9)], [1, 1, 0], "halves of two");
     assert_eq!(allowed(400, 9), 0, "they may still be on their way");
@@ -134,9 +135,17 @@
         let tenants =
             BTreeMap::from([("t".to_owned(), TenantUnits { loan: 10, boosted, ..Default::default() })]);
         let name = "g".to_owned();
-        let all = UnitsCall { life: 7, seq: 1, all: true, to: 2, name, tells_boosted, ..Default::default() };
+        let all = UnitsCall {
+            incarnation: 7,
+            seq: 1,
+            is_full_report: true,
+            counter_term: 2,
+            name,
+            reports_boosted: tells_boosted,
+            ..Default::default()
+        };
         counter.call(0, &UnitsCall { tenants, ..all.clone() }, 4);
-        counter.call(100, &UnitsCall { seq: 2, end: true, ..all }, 4);
+        counter.call(100, &UnitsCall { seq: 2, is_final: true, ..all }, 4);
         // Of its last moments, at the end of the window: its bucket, a unit of its pace, and those beyond it.
         assert_eq!(counter.standings(100 + 5_000)["t"].ended, 4 + 1 + held_back);
     }
@@ -156,7 +165,7 @@
     assert_eq!(counter.used(8_005 + 5_100, "t"), 0);
     assert_eq!(counter.after(13_105).unwrap().gone, [7], "it may leave the log");
     let again = allowance.poll(13_106).unwrap();
-    assert!(counter.call(13_110, &again, 4).tell, "nothing for one that leaves the log");
+    assert!(counter.call(13_110, &again, 4).full_report_needed, "nothing for one that leaves the log");
 }
 
 #[test]
@@ -171,7 +180,7 @@
     assert_eq!(counter.standings(930)["t"], held);
     allowance.moved(950, 2);
     let all = allowance.poll(950).unwrap();
-    assert!(all.all);
+    assert!(all.is_full_report);
     let answer = call(&mut counter, &mut log, 960, &all, 4);
     assert_eq!(counter.used(960, "t"), 10 + answer.tenants["t"].granted, "the only life has told");
     // Its machine comes back with another process: what the first one had goes with the window.
@@ -215,7 +224,7 @@
     let (late, _, mut allowance, mut log) = overtaken(80);
     assert_eq!(allowance.held(410, "t"), 10);
     let mut counter = self::counter(500, 2, 80, &log);
-    assert!(call(&mut counter, &mut log, 510, &late, 4).tell);
+    assert!(call(&mut counter, &mut log, 510, &late, 4).full_report_needed);
     assert_eq!(counter.used(510, "t"), 80, "what it told was of before the ten units");
     allowance.moved(520, 2);
     call(&mut counter, &mut log, 530, &allowance.poll(520).unwrap(), 4);
@@ -239,15 +248,23 @@
     let log = Log::from([(7, "g".to_owned()), (8, "h".to_owned())]);
     let mut counter = Counter::new(1_000, 2, tuning(), log);
     counter.limits(1_000, &BTreeMap::from([("t".to_owned(), Limit { cap, pace })]));
-    assert!(!counter.call(1_010, &tells(1, loan, over, 0), 2).tell);
+    assert!(!counter.call(1_010, &tells(1, loan, over, 0), 2).full_report_needed);
     counter
 }
 
 fn tells(seq: u64, loan: u64, over: u64, want: u64) -> UnitsCall {
-    let units = TenantUnits { loan, over, want, ..TenantUnits::default() };
+    let units = TenantUnits { loan, unspendable: over, requested: want, ..TenantUnits::default() };
     let (all, to) = (seq == 1, if seq == 1 { 2 } else { 0 });
     let tenants = BTreeMap::from([("t".to_owned(), units)]);
-    UnitsCall { life: 7, seq, all, to, name: "g".into(), tenants, ..UnitsCall::default() }
+    UnitsCall {
+        incarnation: 7,
+        seq,
+        is_full_report: all,
+        counter_term: to,
+        name: "g".into(),
+        tenants,
+        ..UnitsCall::default()
+    }
 }
 
 fn lent(counter: &mut Counter, now: u64, call: &UnitsCall) -> u64 {
@@ -263,7 +280,7 @@
     allowance.known(30, &limits(16));
     allowance.moved(40, 2);
     let told = allowance.poll(40).unwrap().tenants["t"].clone();
-    assert_eq!((told.loan, told.over), (4, 2), "four are spent, two may be");
+    assert_eq!((told.loan, told.unspendable), (4, 2), "four are spent, two may be");
     // As 12 are spent and 2 may be, the other one may have 10 of 12.
     let mut counter = followed(12, 12, 12, 10);
     assert_eq!(lent(&mut counter, 6_000, &tells(2, 2, 0, 6)), 0);
@@ -319,9 +336,9 @@
     let (mut counter, mut allowance, mut log) = one_of_ten();
     assert_eq!(allowance.spend(500, "t"), Spend::Wait);
     let asks = allowance.poll(500).unwrap();
-    assert_eq!((asks.tenants["t"].want, asks.tenants["t"].loan), (1, 0));
+    assert_eq!((asks.tenants["t"].requested, asks.tenants["t"].loan), (1, 0));
     let answer = call(&mut counter, &mut log, 505, &asks, 10);
-    assert_eq!((answer.tenants["t"].granted, answer.tenants["t"].lift), (1, 0));
+    assert_eq!((answer.tenants["t"].granted, answer.tenants["t"].initial_pace), (1, 0));
     allowance.answered(510, &answer);
     assert!(matches!(allowance.spend(510, "t"), Spend::Done { from: 510, .. }));
     let refreshes = allowance.poll(2_600).unwrap();
@@ -342,7 +359,7 @@
     assert_eq!(allowance.spend(2_001, "t"), Spend::Wait);
     allowance.answered(2_010, &call(&mut counter, &mut log, 2_005, &refreshes, 10));
     assert_eq!(allowance.spend(2_010, "t"), Spend::Wait);
-    assert_eq!(allowance.poll(2_030).unwrap().tenants["t"].want, 1);
+    assert_eq!(allowance.poll(2_030).unwrap().tenants["t"].requested, 1);
 }
 
 #[test]
@@ -350,7 +367,7 @@
     let (_, mut allowance, _) = one_of_ten();
     (0..2).for_each(|_| assert_eq!(allowance.spend(500, "t"), Spend::Wait));
     assert!(matches!(allowance.give_up(510, "t"), Spend::Refused { .. }));
-    assert_eq!(allowance.poll(520).unwrap().tenants["t"].want, 1, "for the other one");
+    assert_eq!(allowance.poll(520).unwrap().tenants["t"].requested, 1, "for the other one");
 }
 
 #[test]
--- a/crates/quota/tests/units_model.rs
+++ b/crates/quota/tests/units_model.rs
@@ -96,7 +96,7 @@
         if let Some(roll) = self.counter.before(self.now, call) {
             self.log.extend(roll.come);
             self.counter.logged(&self.log);
-            self.counter.came(call.life);
+            self.counter.came(call.incarnation);
         }
         self.counter.call(self.now, call, 2)
     }
@@ -284,8 +284,8 @@
             Act::Arrive(number) => {
                 let (_, call) = world.calls[number].clone();
                 let answer = world.answer(&call);
-                world.answers.retain(|(life, _)| *life != call.life);
-                world.answers.push((call.life, answer));
+                world.answers.retain(|(life, _)| *life != call.incarnation);
+                world.answers.push((call.incarnation, answer));
             }
             Act::Answer(number) => {
                 let (life, answer) = world.answers.remove(number);
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -326,7 +326,7 @@
                 self.calls += 1;
                 self.bytes += serde_json::to_string(&call).map_or(0, |text| text.len());
                 gateway.flight = Some((call.seq, now + CALL_MS));
-                self.facts.push((now, Fact::Called(call.life, call.seq)));
+                self.facts.push((now, Fact::Called(call.incarnation, call.seq)));
                 let term = self.term;
                 if gateway.cut_until <= now {
                     self.post(Parcel::Call(to, call, term));
@@ -358,11 +358,11 @@
                 let Some(counter) = self.counter.as_mut().filter(|_| reaches) else { return };
                 if let Some(roll) = counter.before(now, &call) {
                     Self::enroll(counter, &mut self.log, roll);
-                    counter.came(call.life);
+                    counter.came(call.incarnation);
                 }
                 let answer = counter.call(now, &call, gateways);
                 if self.gateways[from].cut_until <= now {
-                    self.post(Parcel::Answer(from, call.life, answer));
+                    self.post(Parcel::Answer(from, call.incarnation, answer));
                 }
             }
             Parcel::Answer(to, life, answer) => {
@@ -377,7 +377,7 @@
                     return;
                 }
                 self.bytes += serde_json::to_string(&answer).map_or(0, |text| text.len());
-                if !answer.tell {
+                if !answer.full_report_needed {
                     self.facts.push((now, Fact::Answered(gateway.life, answer.seq)));
                 }
                 gateway.allowance.answered(now, &answer);
--- a/crates/registry/src/catalog.rs
+++ b/crates/registry/src/catalog.rs
@@ -3,7 +3,8 @@
 use crate::register::PERMIT_LIFE_MS;
 use crate::roster;
 use nickeljunction_messages::{
-    Caller, ConfigChange, ConfigLine, GatewayLine, ServerLine, ServerState, TrialLine, WatchAnswer, WatchCall,
+    Caller, ConfigChange, GatewayInfo, ServerInfo, ServerState, TrialInfo, VersionedConfig, WatchAnswer,
+    WatchCall,
 };
 use nickeljunction_schema::DocumentDigest;
 use quick_error::quick_error;
@@ -17,17 +18,17 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalog {
     /// Lives of servers by id.
-    pub servers: Rc<BTreeMap<Rc<str>, Rc<ServerLine>>>,
+    pub servers: Rc<BTreeMap<Rc<str>, Rc<ServerInfo>>>,
     /// Zones to whose servers nothing is to be sent.
     pub evacuated: Rc<BTreeSet<String>>,
     /// The newest configuration.
-    pub config: Option<Rc<ConfigLine>>,
+    pub config: Option<Rc<VersionedConfig>>,
     /// How many gateways there are; rather too many than too few. 0: not told yet.
     pub gateways: u32,
     /// IP addresses of the core's machines.
     pub core: Rc<Vec<String>>,
     /// All gateways; told to core members, and to gateways that serve the directory.
-    pub roster: Rc<Vec<GatewayLine>>,
+    pub roster: Rc<Vec<GatewayInfo>>,
     /// Step and stage of each tenant whose trial ever changed. From when they hold is told once, in [`Applied::trials`].
     pub trials: Rc<BTreeMap<String, (u64, u32)>>,
 }
@@ -54,7 +55,7 @@
     /// What `gateway` may send to the server of `line`. `known_ms` is the age of its knowledge: the time since the
     /// newest answered watch call was *sent*, and that answer's `age_ms`. A permit ends with [`PERMIT_LIFE_MS`], for
     /// the leader hands it to another gateway after that.
-    pub fn of(line: &ServerLine, gateway: &str, known_ms: u64) -> Leave {
+    pub fn of(line: &ServerInfo, gateway: &str, known_ms: u64) -> Leave {
         match (&line.state, &line.cold) {
             (ServerState::Draining, _) => Leave::Nothing,
             (ServerState::InService, None) => Leave::Full,
@@ -79,7 +80,7 @@
 
 /// What keeps `gateway` from sending to the server of `line`; `None`: nothing. How old a permit is counts besides, see
 /// [`Leave::of`].
-pub fn barred(line: &ServerLine, gateway: &str, evacuated: impl Fn(&str) -> bool) -> Option<Bar> {
+pub fn barred(line: &ServerInfo, gateway: &str, evacuated: impl Fn(&str) -> bool) -> Option<Bar> {
     match (&line.state, &line.cold) {
         (ServerState::Draining, _) => Some(Bar::Draining),
         _ if evacuated(&line.zone) => Some(Bar::Evacuated),
@@ -108,7 +109,7 @@
     /// The list of gateways changed.
     pub roster: bool,
     /// Trials with a higher step than was held.
-    pub trials: Vec<TrialLine>,
+    pub trials: Vec<TrialInfo>,
     /// The answer came from another leader than the one before.
     pub leader: bool,
 }
@@ -209,11 +210,11 @@
         WatchAnswer {
             term: self.term,
             seq: self.seq,
-            whole: self.complete,
-            evacuated: Some(catalog.evacuated.iter().cloned().collect()),
-            servers: catalog.servers.values().map(|line| ServerLine::clone(line)).collect(),
-            gateways: Some(catalog.gateways),
-            core: Some(catalog.core.to_vec()),
+            is_full_list: self.complete,
+            evacuated_zones: Some(catalog.evacuated.iter().cloned().collect()),
+            servers: catalog.servers.values().map(|line| ServerInfo::clone(line)).collect(),
+            gateway_count: Some(catalog.gateways),
+            core_hosts: Some(catalog.core.to_vec()),
             roster: Some(catalog.roster.to_vec()),
             trials: (!catalog.trials.is_empty()).then(|| catalog.trials.iter().map(line).collect()),
             ..WatchAnswer::default()
@@ -227,22 +228,22 @@
         who: Caller,
         name: &str,
         life: u64,
-        line: Option<GatewayLine>,
+        line: Option<GatewayInfo>,
         wait_ms: u64,
     ) -> WatchCall {
         WatchCall {
-            who,
+            caller: who,
             name: name.to_string(),
-            life,
-            line,
+            incarnation: life,
+            gateway: line,
             term: self.term,
             seq: self.seq,
             version: if self.whole_config { 0 } else { self.catalog.version() },
             wait_ms,
-            directory: false,
-            differences: true,
-            roster_differences: true,
-            told_whole: self.term > 0 && self.whole_term == self.term,
+            serves_directory: false,
+            accepts_config_changes: true,
+            accepts_roster_changes: true,
+            has_full_server_list: self.term > 0 && self.whole_term == self.term,
             diverged: false,
         }
     }
@@ -251,9 +252,9 @@
     fn config_of(
         &self,
         answer: &mut WatchAnswer,
-    ) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, Refused> {
+    ) -> Result<Option<(Rc<VersionedConfig>, DocumentDigest)>, Refused> {
         let held = self.catalog.version();
-        if let Some(change) = answer.change.take() {
+        if let Some(change) = answer.config_change.take() {
             return self.changed(&change);
         }
         let Some(config) = answer.config.take() else { return Ok(None) };
@@ -263,11 +264,14 @@
         if config.version == held && !self.whole_config {
             return Ok(None);
         }
-        let digest = DocumentDigest::of(&config.doc);
+        let digest = DocumentDigest::of(&config.document);
         Ok(Some((config, digest)))
     }
 
-    fn changed(&self, change: &ConfigChange) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, Refused> {
+    fn changed(
+        &self,
+        change: &ConfigChange,
+    ) -> Result<Option<(Rc<VersionedConfig>, DocumentDigest)>, Refused> {
         let version = self.catalog.version();
         if change.version < version {
             return Err(Refused::Config(version, change.version));
@@ -279,12 +283,12 @@
         let held =
             self.catalog.config.as_ref().filter(|held| held.version == change.from && !self.whole_config);
         let Some(held) = held else { return Err(Refused::Base(version, change.from)) };
-        let mut doc = held.doc.clone();
+        let mut doc = held.document.clone();
         let digest = change.difference.apply(&mut doc, self.digest);
         if digest != change.digest {
             return Err(Refused::Digest(change.version));
         }
-        Ok(Some((Rc::new(ConfigLine { version: change.version, doc }), digest)))
+        Ok(Some((Rc::new(VersionedConfig { version: change.version, document: doc }), digest)))
     }
 
     /// Takes an answer to a call made by [`Copy::ask`]; nothing changes where it is refused, but that the next call asks for
@@ -303,7 +307,7 @@
         let mut applied = Applied { leader: turn, ..Applied::default() };
         let mut catalog = Catalog::clone(&self.catalog);
         let mut withdrawn = BTreeSet::new();
-        if let Some(zones) = answer.evacuated {
+        if let Some(zones) = answer.evacuated_zones {
             let zones: BTreeSet<String> = zones.into_iter().collect();
             if zones != *catalog.evacuated {
                 withdrawn = catalog.evacuated.difference(&zones).cloned().collect();
@@ -312,12 +316,17 @@
             }
         }
         if turn
-            || answer.whole
+            || answer.is_full_list
             || !answer.servers.is_empty()
-            || !answer.gone.is_empty()
+            || !answer.removed_servers.is_empty()
             || !withdrawn.is_empty()
         {
-            let fresh = Fresh { lines: answer.servers, gone: answer.gone, whole: answer.whole, turn };
+            let fresh = Fresh {
+                lines: answer.servers,
+                gone: answer.removed_servers,
+                whole: answer.is_full_list,
+                turn,
+            };
             catalog.servers = Rc::new(fresh.over(&catalog.servers, &withdrawn, &mut applied));
         }
         if let Some((config, digest)) = config {
@@ -325,11 +334,11 @@
             (self.digest, self.whole_config) = (digest, false);
             applied.config = true;
         }
-        if let Some(count) = answer.gateways.filter(|count| *count != catalog.gateways) {
+        if let Some(count) = answer.gateway_count.filter(|count| *count != catalog.gateways) {
             catalog.gateways = count;
             applied.gateways = true;
         }
-        if let Some(hosts) = answer.core.filter(|hosts| *hosts != *catalog.core) {
+        if let Some(hosts) = answer.core_hosts.filter(|hosts| *hosts != *catalog.core) {
             catalog.core = Rc::new(hosts);
             applied.core = true;
         }
@@ -340,7 +349,7 @@
         }
         // A leader's log has all steps that any leader told: a lower one is from an answer that was overtaken.
         let higher =
-            |line: &TrialLine| catalog.trials.get(&line.tenant).is_none_or(|(step, _)| line.step > *step);
+            |line: &TrialInfo| catalog.trials.get(&line.tenant).is_none_or(|(step, _)| line.step > *step);
         applied.trials = answer.trials.into_iter().flatten().filter(higher).collect();
         if !applied.trials.is_empty() {
             let news = applied.trials.iter().map(|line| (line.tenant.clone(), (line.step, line.stage)));
@@ -354,8 +363,8 @@
         self.gone.drain(..surplus);
         self.term = answer.term;
         self.seq = answer.seq;
-        self.complete |= answer.whole;
-        if answer.whole {
+        self.complete |= answer.is_full_list;
+        if answer.is_full_list {
             self.whole_term = answer.term;
         }
         if applied.any() {
@@ -365,13 +374,13 @@
     }
 }
 
-fn line((tenant, (step, stage)): (&String, &(u64, u32))) -> TrialLine {
-    TrialLine { tenant: tenant.clone(), step: *step, stage: *stage, in_ms: 0 }
+fn line((tenant, (step, stage)): (&String, &(u64, u32))) -> TrialInfo {
+    TrialInfo { tenant: tenant.clone(), step: *step, stage: *stage, in_ms: 0 }
 }
 
 /// The servers' part of an answer.
 struct Fresh {
-    lines: Vec<ServerLine>,
+    lines: Vec<ServerInfo>,
     gone: Vec<String>,
     whole: bool,
     /// It is the first of a new leader.
@@ -382,10 +391,10 @@
     /// The table that results from this part over the one held.
     fn over(
         self,
-        held: &BTreeMap<Rc<str>, Rc<ServerLine>>,
+        held: &BTreeMap<Rc<str>, Rc<ServerInfo>>,
         withdrawn: &BTreeSet<String>,
         applied: &mut Applied,
-    ) -> BTreeMap<Rc<str>, Rc<ServerLine>> {
+    ) -> BTreeMap<Rc<str>, Rc<ServerInfo>> {
         let mut table = if self.whole { BTreeMap::new() } else { held.clone() };
         for id in &self.gone {
             table.remove(id.as_str());
@@ -396,7 +405,7 @@
             for line in table.values_mut() {
                 let lent = line.cold.as_ref().is_some_and(|holder| !holder.is_empty());
                 if self.turn && lent || withdrawn.contains(&line.zone) {
-                    let barred = ServerLine { cold: Some(String::new()), ..ServerLine::clone(line) };
+                    let barred = ServerInfo { cold: Some(String::new()), ..ServerInfo::clone(line) };
                     *line = Rc::new(barred);
                 }
             }
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,6 +1,6 @@
 //! Which gateways a client is told of.
 
-use nickeljunction_messages::GatewayLine;
+use nickeljunction_messages::GatewayInfo;
 use std::collections::BTreeMap;
 
 /// Most addresses that an answer may hold.
@@ -31,20 +31,20 @@
 /// region are listed: a request must not leave its region because the directory knew no better. Only where that has none at
 /// all are others listed, ready ones first.
 pub fn directory(
-    roster: &[GatewayLine],
+    roster: &[GatewayInfo],
     client: &Client<'_>,
     zones: &BTreeMap<String, String>,
     dice: u64,
 ) -> Vec<String> {
     let mut dice = Dice(dice);
     let (own, others) = split(roster, client, zones);
-    let ready = |line: &&&GatewayLine| line.ready;
-    let allowed = |line: &&&GatewayLine| {
+    let ready = |line: &&&GatewayInfo| line.ready;
+    let allowed = |line: &&&GatewayInfo| {
         let region = zones.get(&line.zone);
         client.homes.is_none_or(|homes| region.is_some_and(|region| homes.contains(region)))
     };
     let near = own.iter().filter(ready).partition::<Vec<_>, _>(|line| line.zone == client.zone);
-    let far: Vec<&GatewayLine> = others.iter().filter(ready).filter(allowed).copied().collect();
+    let far: Vec<&GatewayInfo> = others.iter().filter(ready).filter(allowed).copied().collect();
     let mut listed = Vec::new();
     for tier in [near.0, near.1, far] {
         let most = if listed.is_empty() { MOST_ADDRESSES } else { FEWEST.saturating_sub(listed.len()) };
@@ -69,19 +69,19 @@
 
 /// The gateways of the client's own region, and all others.
 fn split<'a>(
-    roster: &'a [GatewayLine],
+    roster: &'a [GatewayInfo],
     client: &Client<'_>,
     zones: &BTreeMap<String, String>,
-) -> (Vec<&'a GatewayLine>, Vec<&'a GatewayLine>) {
+) -> (Vec<&'a GatewayInfo>, Vec<&'a GatewayInfo>) {
     let region = zones.get(client.zone).map_or(client.region, String::as_str);
-    let own = |line: &&GatewayLine| {
+    let own = |line: &&GatewayInfo| {
         line.zone == client.zone || zones.get(&line.zone).is_some_and(|there| there == region)
     };
     roster.iter().partition(own)
 }
 
 /// Lists `most` gateways of a tier, in a drawn order.
-fn add(listed: &mut Vec<String>, mut tier: Vec<&GatewayLine>, most: usize, dice: &mut Dice) {
+fn add(listed: &mut Vec<String>, mut tier: Vec<&GatewayInfo>, most: usize, dice: &mut Dice) {
     dice.shuffle(&mut tier);
     for line in tier.into_iter().take(most) {
         if !listed.contains(&line.front) {
@@ -113,8 +113,8 @@
 mod tests {
     use super::*;
 
-    fn line(name: &str, zone: &str, ready: bool) -> GatewayLine {
-        GatewayLine { name: name.into(), front: format!("{name}:80"), zone: zone.into(), ready }
+    fn line(name: &str, zone: &str, ready: bool) -> GatewayInfo {
+        GatewayInfo { name: name.into(), front: format!("{name}:80"), zone: zone.into(), ready }
     }
 
     fn zones() -> BTreeMap<String, String> {
@@ -123,11 +123,11 @@
             .into()
     }
 
-    fn ask(roster: &[GatewayLine], zone: &str, dice: u64) -> Vec<String> {
+    fn ask(roster: &[GatewayInfo], zone: &str, dice: u64) -> Vec<String> {
         ask_for(None, roster, zone, dice)
     }
 
-    fn ask_for(homes: Option<&[&str]>, roster: &[GatewayLine], zone: &str, dice: u64) -> Vec<String> {
+    fn ask_for(homes: Option<&[&str]>, roster: &[GatewayInfo], zone: &str, dice: u64) -> Vec<String> {
         let homes = homes.map(|homes| homes.iter().map(|home| home.to_string()).collect::<Vec<_>>());
         let client = Client { region: "a", zone, homes: homes.as_deref() };
         directory(roster, &client, &zones(), dice)
--- a/crates/registry/src/gateways.rs
+++ b/crates/registry/src/gateways.rs
@@ -2,7 +2,7 @@
 
 use crate::register::{Numbering, Tuning};
 use crate::roster::Roster;
-use nickeljunction_messages::{GatewayLine, WatchCall};
+use nickeljunction_messages::{GatewayInfo, WatchCall};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Replaced lives that are remembered: their late calls say nothing. Far more than restart within a call's time.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GatewayStanding {
     /// As published.
-    pub line: GatewayLine,
+    pub line: GatewayInfo,
     /// Version of the configuration that it had at its last call; `None`: it has not called this leader yet.
     pub version: Option<u64>,
     /// It was last surely there so long ago, ms; `None`: it is there.
@@ -40,7 +40,7 @@
 struct Gateway {
     /// `None`: known from a copy, which doesn't tell it.
     life: Option<u64>,
-    line: Option<GatewayLine>,
+    line: Option<GatewayInfo>,
     /// Its call is held, or the next one is due, until then.
     until: u64,
     /// Since when its watch connection is broken.
@@ -58,7 +58,7 @@
     }
 
     fn standing(&self, now: u64) -> Option<GatewayStanding> {
-        let line = GatewayLine { ready: self.ready(now), ..self.line.clone()? };
+        let line = GatewayInfo { ready: self.ready(now), ..self.line.clone()? };
         let away_ms = now.checked_sub(self.there_until());
         Some(GatewayStanding { line, version: self.version, away_ms })
     }
@@ -86,11 +86,11 @@
     pub(crate) fn new(
         now: u64,
         tuning: &Tuning,
-        roster: &[GatewayLine],
+        roster: &[GatewayInfo],
         count: u32,
         numbers: &mut Numbering,
     ) -> Gateways {
-        let heard = |line: &GatewayLine| Gateway {
+        let heard = |line: &GatewayInfo| Gateway {
             life: None,
             line: Some(line.clone()),
             until: now + tuning.takeover_ms,
@@ -120,7 +120,7 @@
         has: u64,
         numbers: &mut Numbering,
     ) -> Seen {
-        if self.replaced.iter().any(|(name, life)| *name == call.name && *life == call.life) {
+        if self.replaced.iter().any(|(name, life)| *name == call.name && *life == call.incarnation) {
             return Seen::Replaced;
         }
         let until = now + call.wait_ms.min(MOST_WAIT_MS) + tuning.gateway_slack_ms;
@@ -133,10 +133,10 @@
             version: None,
         });
         match gateway.life {
-            Some(life) if life != call.life => {
+            Some(life) if life != call.incarnation => {
                 // Lives are drawn by chance and say nothing of their order: the one that tells its line, as each does at
                 // its start, replaces the other.
-                if call.line.is_none() {
+                if call.gateway.is_none() {
                     return Seen::NoLine;
                 }
                 self.replaced.push_back((call.name.clone(), life));
@@ -149,16 +149,16 @@
         }
         let was_ready = gateway.ready(now);
         // One that asks beside a call that is held is there for as long as that one is.
-        let same = gateway.life == Some(call.life);
+        let same = gateway.life == Some(call.incarnation);
         gateway.until = if same { gateway.until.max(until) } else { until };
-        gateway.life = Some(call.life);
+        gateway.life = Some(call.incarnation);
         gateway.version = Some(call.version);
         gateway.broken = None;
         let mut changed = false;
-        if let Some(line) = &call.line {
+        if let Some(line) = &call.gateway {
             changed = gateway.line.as_ref() != Some(line);
             if changed {
-                gateway.line = Some(GatewayLine { name: call.name.clone(), ..line.clone() });
+                gateway.line = Some(GatewayInfo { name: call.name.clone(), ..line.clone() });
             }
         }
         let unsaid = gateway.line.is_none();
@@ -196,7 +196,7 @@
         }
         let lines =
             || self.known.values().filter_map(|gateway| Some((gateway.line.as_ref()?, gateway.ready(now))));
-        let same = |(held, (line, ready)): (&GatewayLine, (&GatewayLine, bool))| {
+        let same = |(held, (line, ready)): (&GatewayInfo, (&GatewayInfo, bool))| {
             held.ready == ready
                 && held.name == line.name
                 && held.front == line.front
@@ -204,7 +204,7 @@
         };
         let held = self.roster.lines();
         if lines().count() != held.len() || !held.iter().zip(lines()).all(same) {
-            let news = lines().map(|(line, ready)| GatewayLine { ready, ..line.clone() }).collect();
+            let news = lines().map(|(line, ready)| GatewayInfo { ready, ..line.clone() }).collect();
             self.roster.publish(news, numbers);
         }
     }
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -6,7 +6,7 @@
 use crate::servers::{Beat, BeatKind, BeatOutcome, ServerStanding, Servers};
 use crate::tally::{tally, Tally};
 use nickeljunction_messages::{
-    Caller, ConfigChange, ConfigLine, GatewayLine, ServerState, TrialLine, WatchAnswer, WatchCall,
+    Caller, ConfigChange, GatewayInfo, ServerState, TrialInfo, VersionedConfig, WatchAnswer, WatchCall,
 };
 use nickeljunction_schema::DocumentDigest;
 use std::cell::RefCell;
@@ -121,16 +121,16 @@
 
 impl Tide {
     /// As it is told now.
-    fn line(&self, now: u64) -> TrialLine {
+    fn line(&self, now: u64) -> TrialInfo {
         let in_ms = self.holds.saturating_sub(now);
-        TrialLine { tenant: self.tenant.clone(), step: self.step, stage: self.stage, in_ms }
+        TrialInfo { tenant: self.tenant.clone(), step: self.step, stage: self.stage, in_ms }
     }
 }
 
 /// A configuration as it is told.
 #[derive(Debug)]
 struct Published {
-    line: Rc<ConfigLine>,
+    line: Rc<VersionedConfig>,
     digest: DocumentDigest,
     changes: Changes,
     /// Made when the first caller asks for it, the same for all of one version.
@@ -142,7 +142,7 @@
     fn change(&self, from: u64) -> Option<Rc<ConfigChange>> {
         let make = || {
             let version = self.line.version;
-            let difference = self.changes.since(from, version, &self.line.doc)?;
+            let difference = self.changes.since(from, version, &self.line.document)?;
             Some(Rc::new(ConfigChange { from, version, difference, digest: self.digest }))
         };
         self.made.borrow_mut().entry(from).or_insert_with(make).clone()
@@ -279,7 +279,7 @@
     /// A watch call came in, of a gateway or of a follower; to be told before [`Register::answer`] is asked.
     pub fn called(&mut self, now: u64, call: &WatchCall) -> Seen {
         let has = if call.term == self.term { call.seq } else { 0 };
-        match call.who {
+        match call.caller {
             Caller::Gateway => self.gateways.called(now, &self.tuning, call, has, &mut self.numbers),
             Caller::Core => Seen::Core,
         }
@@ -297,7 +297,7 @@
     }
 
     /// All gateways, as the directory needs them.
-    pub fn roster(&self) -> Rc<Vec<GatewayLine>> {
+    pub fn roster(&self) -> Rc<Vec<GatewayInfo>> {
         self.gateways.roster().lines().clone()
     }
 
@@ -361,7 +361,7 @@
 
     /// The newest configuration that was agreed on, with its digest and what led to it; an older one than is held changes
     /// nothing.
-    pub fn config(&mut self, line: Rc<ConfigLine>, digest: DocumentDigest, changes: Changes) {
+    pub fn config(&mut self, line: Rc<VersionedConfig>, digest: DocumentDigest, changes: Changes) {
         if self.config.as_ref().is_none_or(|held| held.line.version < line.version) {
             self.config = Some(Published { line, digest, changes, made: RefCell::default() });
             self.config_at = self.ticked;
@@ -385,35 +385,35 @@
         let since = if own { call.seq } else { 0 };
         let mut answer = self.nothing(age_ms);
         // One that has nothing is told all there is as the whole, unless a successor would take it for that.
-        let partial = self.gathering() && (call.who == Caller::Core || call.term != 0);
+        let partial = self.gathering() && (call.caller == Caller::Core || call.term != 0);
         if own && self.holds_all(call) && self.servers.follows(since) {
             self.servers.since(since, &mut answer);
         } else {
-            answer.whole = !partial;
+            answer.is_full_list = !partial;
             answer.servers = self.servers.all();
             if partial {
                 // It goes on top of what the caller has, which may name lives that went under this leader.
-                answer.gone = self.servers.all_gone();
+                answer.removed_servers = self.servers.all_gone();
             }
         }
         self.add_config(call, &mut answer);
         let evacuated = self.evacuated.as_ref().filter(|(_, at)| *at > since);
-        answer.evacuated = evacuated.map(|(zones, _)| zones.iter().cloned().collect());
-        answer.core = self.core.as_ref().filter(|(_, at)| *at > since).map(|(hosts, _)| hosts.clone());
+        answer.evacuated_zones = evacuated.map(|(zones, _)| zones.iter().cloned().collect());
+        answer.core_hosts = self.core.as_ref().filter(|(_, at)| *at > since).map(|(hosts, _)| hosts.clone());
         let trials = self.trials.as_ref().filter(|(_, at)| *at > since);
         answer.trials = trials.map(|(tides, _)| tides.iter().map(|tide| tide.line(now)).collect());
-        answer.gateways = (self.gateways.count_at() > since).then(|| self.gateways.count());
+        answer.gateway_count = (self.gateways.count_at() > since).then(|| self.gateways.count());
         self.add_roster(call, since, &mut answer);
         let news = !own
-            || answer.whole
+            || answer.is_full_list
             || !answer.servers.is_empty()
-            || !answer.gone.is_empty()
+            || !answer.removed_servers.is_empty()
             || answer.config.is_some()
-            || answer.change.is_some()
-            || answer.evacuated.is_some()
-            || answer.core.is_some()
+            || answer.config_change.is_some()
+            || answer.evacuated_zones.is_some()
+            || answer.core_hosts.is_some()
             || answer.trials.is_some()
-            || answer.gateways.is_some()
+            || answer.gateway_count.is_some()
             || answer.roster.is_some()
             || answer.roster_change.is_some();
         news.then_some(answer)
@@ -421,7 +421,7 @@
 
     /// The caller has all lives of this leader's table up to its number, and no others.
     fn holds_all(&self, call: &WatchCall) -> bool {
-        call.seq >= self.whole_at || call.told_whole
+        call.seq >= self.whole_at || call.has_full_server_list
     }
 
     /// The caller lacks something that must not wait. What may: servers and gateways that came, and how many gateways
@@ -434,7 +434,7 @@
         !own || !self.holds_all(call)
             || later(self.servers.pressing_at())
             || told_roster(call) && later(self.gateways.roster().pressing_at())
-            || call.who == Caller::Gateway && config
+            || call.caller == Caller::Gateway && config
             || self.evacuated.as_ref().is_some_and(|(_, at)| later(*at))
             || self.core.as_ref().is_some_and(|(_, at)| later(*at))
             || self.trials.as_ref().is_some_and(|(_, at)| later(*at))
@@ -446,7 +446,7 @@
         if !told_roster(call) || roster.changed_at() <= since {
             return;
         }
-        answer.roster_change = if call.roster_differences { roster.change_since(since) } else { None };
+        answer.roster_change = if call.accepts_roster_changes { roster.change_since(since) } else { None };
         if answer.roster_change.is_none() {
             answer.roster = Some(roster.lines().to_vec());
         }
@@ -455,21 +455,21 @@
     /// The configuration where the caller lacks it: what differs from the caller's own where that is known, else the whole.
     fn add_config(&self, call: &WatchCall, answer: &mut WatchAnswer) {
         // A core member has it from the log.
-        let asks = |held: &&Published| call.who == Caller::Gateway && held.line.version > call.version;
+        let asks = |held: &&Published| call.caller == Caller::Gateway && held.line.version > call.version;
         let Some(held) = self.config.as_ref().filter(asks) else { return };
-        answer.change = if call.differences { held.change(call.version) } else { None };
-        if answer.change.is_none() {
+        answer.config_change = if call.accepts_config_changes { held.change(call.version) } else { None };
+        if answer.config_change.is_none() {
             answer.config = Some(held.line.clone());
         }
     }
 
     /// The answer to a call that was held for its whole time without news.
     pub fn nothing(&self, age_ms: u64) -> WatchAnswer {
-        WatchAnswer { term: self.term, seq: self.seq(), age_ms, ..WatchAnswer::default() }
+        WatchAnswer { term: self.term, seq: self.seq(), quorum_age_ms: age_ms, ..WatchAnswer::default() }
     }
 }
 
 /// The caller is told the list of gateways.
 fn told_roster(call: &WatchCall) -> bool {
-    call.who == Caller::Core || call.directory
+    call.caller == Caller::Core || call.serves_directory
 }
--- a/crates/registry/src/roster.rs
+++ b/crates/registry/src/roster.rs
@@ -1,7 +1,7 @@
 //! The list of gateways as it is published, with what changed in it since when.
 
 use crate::register::Numbering;
-use nickeljunction_messages::{GatewayLine, RosterChange};
+use nickeljunction_messages::{GatewayInfo, RosterChange};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(crate) struct Roster {
     /// In order of their names.
-    lines: Rc<Vec<GatewayLine>>,
+    lines: Rc<Vec<GatewayInfo>>,
     /// Number of each line's last change, by name.
     line_at: BTreeMap<String, u64>,
     /// Number and name of those that went, oldest first.
@@ -38,7 +38,7 @@
     }
 
     /// All gateways.
-    pub(crate) fn lines(&self) -> &Rc<Vec<GatewayLine>> {
+    pub(crate) fn lines(&self) -> &Rc<Vec<GatewayInfo>> {
         &self.lines
     }
 
@@ -53,10 +53,10 @@
     }
 
     /// Publishes `lines`, in order of their names.
-    pub(crate) fn publish(&mut self, lines: Vec<GatewayLine>, numbers: &mut Numbering) {
+    pub(crate) fn publish(&mut self, lines: Vec<GatewayInfo>, numbers: &mut Numbering) {
         let at = numbers.next();
         let held = std::mem::replace(&mut self.lines, Rc::new(lines));
-        let held: BTreeMap<&str, &GatewayLine> = held.iter().map(|line| (line.name.as_str(), line)).collect();
+        let held: BTreeMap<&str, &GatewayInfo> = held.iter().map(|line| (line.name.as_str(), line)).collect();
         let mut missing = held.clone();
         for line in self.lines.iter() {
             let before = held.get(line.name.as_str());
@@ -91,24 +91,24 @@
         if since < self.floor {
             return None;
         }
-        let fresh = |line: &&GatewayLine| self.line_at.get(&line.name).is_some_and(|at| *at > since);
+        let fresh = |line: &&GatewayInfo| self.line_at.get(&line.name).is_some_and(|at| *at > since);
         let gone = self.gone.iter().rev().take_while(|(at, _)| *at > since);
         // One that went and came back is among the lines.
         let gone = gone.filter(|(_, name)| !self.line_at.contains_key(name));
         Some(RosterChange {
-            lines: self.lines.iter().filter(fresh).cloned().collect(),
-            gone: gone.map(|(_, name)| name.clone()).collect(),
+            changed: self.lines.iter().filter(fresh).cloned().collect(),
+            removed: gone.map(|(_, name)| name.clone()).collect(),
         })
     }
 }
 
 /// The list that results from a change to the one held.
-pub(crate) fn changed(held: &[GatewayLine], change: RosterChange) -> Vec<GatewayLine> {
-    let mut lines: BTreeMap<String, GatewayLine> =
+pub(crate) fn changed(held: &[GatewayInfo], change: RosterChange) -> Vec<GatewayInfo> {
+    let mut lines: BTreeMap<String, GatewayInfo> =
         held.iter().map(|line| (line.name.clone(), line.clone())).collect();
-    for name in &change.gone {
+    for name in &change.removed {
         lines.remove(name);
     }
-    lines.extend(change.lines.into_iter().map(|line| (line.name.clone(), line)));
+    lines.extend(change.changed.into_iter().map(|line| (line.name.clone(), line)));
     lines.into_values().collect()
 }
--- a/crates/registry/src/servers.rs
+++ b/crates/registry/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::catalog::Copy;
 use crate::gateways::Gateways;
 use crate::register::{Numbering, Tuning};
-use nickeljunction_messages::{ServerLine, ServerState, WatchAnswer};
+use nickeljunction_messages::{ServerInfo, ServerState, WatchAnswer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Ids of lives gone that are told as differences; who lags further behind reads the whole table.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerStanding {
     /// As published.
-    pub line: ServerLine,
+    pub line: ServerInfo,
     /// Its last beat came so long ago, ms, which is longer than servers take; `None`: it beats.
     pub silent_ms: Option<u64>,
 }
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 struct Life {
     /// As published.
-    line: ServerLine,
+    line: ServerInfo,
     /// Number of its last change.
     changed: u64,
     /// Of its newest beat. `None`: known from a copy, which doesn't tell it.
@@ -182,7 +182,7 @@
             patient_until: 0,
         };
         for (id, line) in copy.catalog().servers.iter() {
-            let mut line = ServerLine::clone(line);
+            let mut line = ServerInfo::clone(line);
             let warmth = match &mut line.cold {
                 None => Warmth::Warm,
                 // Whom the old leader gave the permit since is unknown, and how long it stays cold.
@@ -511,7 +511,7 @@
     }
 
     /// The published lines.
-    pub(crate) fn lines(&self) -> impl Iterator<Item = &ServerLine> {
+    pub(crate) fn lines(&self) -> impl Iterator<Item = &ServerInfo> {
         self.lives.values().map(|life| &life.line)
     }
 
@@ -541,7 +541,7 @@
     }
 
     /// All lines.
-    pub(crate) fn all(&self) -> Vec<ServerLine> {
+    pub(crate) fn all(&self) -> Vec<ServerInfo> {
         self.lines().cloned().collect()
     }
 
@@ -560,13 +560,14 @@
         answer.servers = fresh.map(|life| life.line.clone()).collect();
         let gone = self.gone.iter().rev().take_while(|(at, _)| *at > since);
         // A life that went and came back is among the fresh.
-        answer.gone = gone.filter(|(_, id)| !self.lives.contains_key(id)).map(|(_, id)| id.clone()).collect();
+        answer.removed_servers =
+            gone.filter(|(_, id)| !self.lives.contains_key(id)).map(|(_, id)| id.clone()).collect();
     }
 }
 
 impl Beat {
-    fn line(&self, id: &str) -> ServerLine {
-        ServerLine {
+    fn line(&self, id: &str) -> ServerInfo {
+        ServerInfo {
             id: id.to_string(),
             backend: self.backend.clone(),
             address: self.address.clone(),
--- a/crates/registry/src/tally.rs
+++ b/crates/registry/src/tally.rs
@@ -1,13 +1,13 @@
 //! Servers counted by service and state, for operators.
 
-use nickeljunction_messages::{ServerLine, ServerState};
+use nickeljunction_messages::{ServerInfo, ServerState};
 use std::collections::BTreeMap;
 
 /// How many lives there are by service and state.
 pub type Tally = BTreeMap<String, BTreeMap<&'static str, usize>>;
 
 /// A life's state in a word: `in_service`, `cold` (in service, at its rate) or `draining`.
-pub fn state(line: &ServerLine) -> &'static str {
+pub fn state(line: &ServerInfo) -> &'static str {
     // One that leaves gets nothing, however cold it is.
     match (line.state, &line.cold) {
         (ServerState::Draining, _) => "draining",
@@ -17,7 +17,7 @@
 }
 
 /// How many of these lives are in which [`state`]. A service without a life is not in it.
-pub fn tally<'a>(lines: impl IntoIterator<Item = &'a ServerLine>) -> Tally {
+pub fn tally<'a>(lines: impl IntoIterator<Item = &'a ServerInfo>) -> Tally {
     let mut tally = Tally::new();
     for line in lines {
         *tally.entry(line.backend.clone()).or_default().entry(state(line)).or_default() += 1;
--- a/crates/registry/tests/changes.rs
+++ b/crates/registry/tests/changes.rs
@@ -1,6 +1,6 @@
 //! The configuration to watchers as differences: what each is told, and what becomes of one that doesn't fit.
 
-use nickeljunction_messages::{Caller, ConfigLine, WatchAnswer, WatchCall};
+use nickeljunction_messages::{Caller, VersionedConfig, WatchAnswer, WatchCall};
 use nickeljunction_registry::{Changes, Copy, Refused, Register, Tuning};
 use nickeljunction_schema::{Difference, DocumentDigest, Place};
 use serde_json::{json, Value};
@@ -26,7 +26,7 @@
     }
 
     fn publish(&mut self) {
-        let line = ConfigLine { version: self.version, doc: self.doc.clone() };
+        let line = VersionedConfig { version: self.version, document: self.doc.clone() };
         self.register.config(Rc::new(line), DocumentDigest::of(&self.doc), self.changes.clone());
     }
 
@@ -55,7 +55,7 @@
     fn told(&self, copy: &mut Copy) -> WatchAnswer {
         let answer = self.answer(&self.ask(copy)).expect("news");
         copy.apply(answer.clone()).expect("it fits");
-        assert_eq!(copy.catalog().config.as_ref().map(|held| &held.doc), Some(&self.doc));
+        assert_eq!(copy.catalog().config.as_ref().map(|held| &held.document), Some(&self.doc));
         answer
     }
 }
@@ -70,16 +70,16 @@
     let (mut near, mut far) = (Copy::new(), Copy::new());
     let whole = leader.told(&mut near);
     leader.told(&mut far);
-    assert!(whole.config.is_some() && whole.change.is_none(), "the first is whole");
+    assert!(whole.config.is_some() && whole.config_change.is_none(), "the first is whole");
     for round in 0..400 {
         leader.change(round % 3);
         let answer = leader.told(&mut near);
-        let change = answer.change.as_ref().expect("a difference");
+        let change = answer.config_change.as_ref().expect("a difference");
         assert_eq!((change.from, change.version), (leader.version - 2, leader.version));
         assert!(bytes(&answer) < 300, "{} bytes", bytes(&answer));
     }
     let answer = leader.told(&mut far);
-    assert_eq!(answer.change.as_ref().map(|change| change.from), Some(1));
+    assert_eq!(answer.config_change.as_ref().map(|change| change.from), Some(1));
     assert!(bytes(&answer) < 450, "400 changes of three routes are {} bytes", bytes(&answer));
     assert!(leader.answer(&leader.ask(&far)).is_none(), "nothing more");
 }
@@ -91,9 +91,9 @@
     leader.told(&mut old);
     leader.told(&mut plain);
     leader.change(1);
-    let call = WatchCall { differences: false, ..leader.ask(&plain) };
+    let call = WatchCall { accepts_config_changes: false, ..leader.ask(&plain) };
     let answer = leader.answer(&call).expect("news");
-    assert!(answer.config.is_some() && answer.change.is_none(), "a program of before");
+    assert!(answer.config.is_some() && answer.config_change.is_none(), "a program of before");
     plain.apply(answer).expect("whole");
     assert_eq!(plain.catalog().version(), leader.version);
     for _ in 0..600 {
@@ -107,7 +107,7 @@
     assert!(leader.told(&mut old).config.is_some());
     let core = Copy::new().ask(Caller::Core, "core-2", 9, None, 0);
     let answer = leader.answer(&core).expect("all but the configuration");
-    assert!(answer.config.is_none() && answer.change.is_none(), "core members have it from the log");
+    assert!(answer.config.is_none() && answer.config_change.is_none(), "core members have it from the log");
 }
 
 #[test]
@@ -120,17 +120,18 @@
     leader.change(2);
     let mut answer = leader.answer(&leader.ask(&copy)).expect("news");
     // One change between was lost: the same versions, another content.
-    let change = answer.change.take().expect("a difference");
+    let change = answer.config_change.take().expect("a difference");
     let doc = json!({"config_version": leader.version});
     let difference = Difference::between(&json!({}), &doc);
-    answer.change = Some(Rc::new(nickeljunction_messages::ConfigChange { difference, ..(*change).clone() }));
+    answer.config_change =
+        Some(Rc::new(nickeljunction_messages::ConfigChange { difference, ..(*change).clone() }));
     let before = copy.catalog();
     assert_eq!(copy.apply(answer), Err(Refused::Digest(leader.version)));
     assert!(Rc::ptr_eq(&before, &copy.catalog()), "nothing changed");
     assert_eq!(leader.ask(&copy).version, 0, "it asks for the whole");
     assert!(leader.told(&mut copy).config.is_some());
     leader.change(3);
-    assert!(leader.told(&mut copy).change.is_some(), "from then on by differences again");
+    assert!(leader.told(&mut copy).config_change.is_some(), "from then on by differences again");
 }
 
 /// A document that came whole between two differences: nothing leads over it.
@@ -167,7 +168,7 @@
     copy.apply(late.clone()).expect("it fits");
     assert!(!copy.apply(late).expect("the same once more").config);
     assert!(copy.apply(early.clone()).is_err(), "an older number");
-    assert_eq!(copy.catalog().config.as_ref().map(|held| &held.doc), Some(&leader.doc));
+    assert_eq!(copy.catalog().config.as_ref().map(|held| &held.document), Some(&leader.doc));
     // The early one first, then one that is made for the version before it.
     other.apply(early).expect("it fits");
     leader.change(3);
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, missing_docs)]
 
-use nickeljunction_messages::{Caller, GatewayLine, ServerState, WatchCall};
+use nickeljunction_messages::{Caller, GatewayInfo, ServerState, WatchCall};
 use nickeljunction_registry::{Applied, Beat, BeatKind, Catalog, Copy, Register, Tuning};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -35,8 +35,8 @@
     Beat { warmup_left_ms, ..beat(address, zone, call_seq) }
 }
 
-pub fn line(name: &str, zone: &str, ready: bool) -> GatewayLine {
-    GatewayLine { name: name.into(), front: format!("{name}:80"), zone: zone.into(), ready }
+pub fn line(name: &str, zone: &str, ready: bool) -> GatewayInfo {
+    GatewayInfo { name: name.into(), front: format!("{name}:80"), zone: zone.into(), ready }
 }
 
 /// The first call of a gateway's life.
--- a/crates/registry/tests/reference.rs
+++ b/crates/registry/tests/reference.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use nickeljunction_messages::{Caller, ConfigLine, ServerLine, ServerState, WatchAnswer};
+use nickeljunction_messages::{Caller, ServerInfo, ServerState, VersionedConfig, WatchAnswer};
 use nickeljunction_registry::{barred, Applied, Beat, Changes, Copy, Leave};
 use nickeljunction_schema::DocumentDigest;
 use proptest::prelude::*;
@@ -188,7 +188,7 @@
     }
 
     /// What is published of a life, but for who has the permit.
-    fn check_line(&self, now: u64, line: &ServerLine) -> Result<(), TestCaseError> {
+    fn check_line(&self, now: u64, line: &ServerInfo) -> Result<(), TestCaseError> {
         let life = self.lives.get(&line.id);
         prop_assert!(life.is_some(), "{} ms: {} is there", now, line.id);
         let life = life.unwrap();
@@ -202,7 +202,7 @@
     }
 
     /// Right after a tick: silent lives are gone in the end, and holders of permits are there.
-    fn check_times(&self, now: u64, lines: &BTreeMap<Rc<str>, Rc<ServerLine>>) -> Result<(), TestCaseError> {
+    fn check_times(&self, now: u64, lines: &BTreeMap<Rc<str>, Rc<ServerInfo>>) -> Result<(), TestCaseError> {
         for (id, life) in &self.lives {
             let most = tuning().mass_silence_ms;
             prop_assert!(now <= life.heard + most, "{} ms: {} is silent since {}", now, id, life.heard);
@@ -375,7 +375,7 @@
         let told = Some(line(name, ZONES[number % 3], ready));
         let call = gateway.copy.ask(Caller::Gateway, name, gateway.life, told, 1_000);
         self.cluster.register.called(now, &call);
-        self.reference.gateways.insert(name.into(), (now + KEEPS_MS, ready, Some(call.life)));
+        self.reference.gateways.insert(name.into(), (now + KEEPS_MS, ready, Some(call.incarnation)));
         let answer = self.cluster.register.answer(self.cluster.now, &call, 0);
         let answer = answer.unwrap_or_else(|| self.cluster.register.nothing(0));
         self.answers.push(answer.clone());
@@ -419,7 +419,7 @@
     fn configure(&mut self) {
         let doc = serde_json::json!({ "config_version": self.version });
         let digest = DocumentDigest::of(&doc);
-        let line = ConfigLine { version: self.version, doc };
+        let line = VersionedConfig { version: self.version, document: doc };
         self.cluster.register.config(Rc::new(line), digest, Changes::default());
     }
 
--- a/crates/registry/tests/servers.rs
+++ b/crates/registry/tests/servers.rs
@@ -345,7 +345,7 @@
     register.departed(now, &draining, &ended);
     let call = copy.ask(Caller::Gateway, "g", 1, None, 0);
     let answer = register.answer(now, &call, 0).expect("a new leader's answer");
-    assert!(!answer.whole);
+    assert!(!answer.is_full_list);
     copy.apply(answer).expect("of a newer term");
     let left: Vec<String> = copy.catalog().servers.keys().map(|id| id.to_string()).collect();
     assert_eq!(left, ["stays"]);
--- a/crates/registry/tests/watching.rs
+++ b/crates/registry/tests/watching.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::*;
-use nickeljunction_messages::{Caller, ConfigLine, TrialLine, WatchAnswer, WatchCall};
+use nickeljunction_messages::{Caller, TrialInfo, VersionedConfig, WatchAnswer, WatchCall};
 use nickeljunction_registry::{Copy, Refused, Seen, Tide};
 use std::rc::Rc;
 
-fn config(version: u64) -> ConfigLine {
-    ConfigLine { version, doc: serde_json::json!({ "config_version": version }) }
+fn config(version: u64) -> VersionedConfig {
+    VersionedConfig { version, document: serde_json::json!({ "config_version": version }) }
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let early = cluster.register.answer(cluster.now, &ask(&copy), 0).expect("news");
     cluster.register.trials(vec![tide(5, 2, holds)]);
     let news = cluster.register.answer(cluster.now, &ask(&copy), 0).expect("news");
-    let line = |step, stage, in_ms| TrialLine { tenant: "t".into(), step, stage, in_ms };
+    let line = |step, stage, in_ms| TrialInfo { tenant: "t".into(), step, stage, in_ms };
     assert_eq!(copy.apply(news).expect("newer").trials, [line(5, 2, 200)]);
     assert!(cluster.register.answer(cluster.now, &ask(&copy), 0).is_none(), "all is told");
     // A new leader that lags behind, and the same step once more.
@@ -112,19 +112,22 @@
     }
     let mut copy = cluster.copy();
     let answer = |cluster: &Cluster, copy: &Copy, roster_differences: bool| {
-        let call = WatchCall { roster_differences, ..copy.ask(Caller::Core, "watcher", 7, None, 0) };
+        let call = WatchCall {
+            accepts_roster_changes: roster_differences,
+            ..copy.ask(Caller::Core, "watcher", 7, None, 0)
+        };
         cluster.register.answer(cluster.now, &call, 0).expect("news")
     };
     cluster.register.called(cluster.now, &hello("g", "a1", 1, false));
     let change = answer(&cluster, &copy, true).roster_change.expect("a difference");
-    assert_eq!((change.lines, change.gone), (vec![line("g", "a1", false)], Vec::new()));
+    assert_eq!((change.changed, change.removed), (vec![line("g", "a1", false)], Vec::new()));
     assert_eq!(answer(&cluster, &copy, false).roster.map(|roster| roster.len()), Some(3));
     // "f" and "h" are forgotten, and "h" comes back.
     cluster.calling.push(("g", "a1"));
     cluster.wait(23_000);
     cluster.register.called(cluster.now, &hello("h", "a2", 8, true));
     let change = answer(&cluster, &copy, true).roster_change.expect("a difference");
-    assert_eq!(change.gone, ["f"]);
+    assert_eq!(change.removed, ["f"]);
     cluster.tell(&mut copy, Caller::Core);
     assert_eq!(copy.catalog().roster, cluster.catalog().roster);
     let successor = Cluster::from(cluster.now, 2, Some(copy.clone()));
@@ -171,7 +174,7 @@
         cluster.beat(&format!("x{n}"), &beat("x:1", "a1", 1));
     }
     let call = copy.ask(Caller::Core, "watcher", 7, None, 0);
-    assert!(cluster.register.answer(cluster.now, &call, 0).is_some_and(|answer| answer.whole));
+    assert!(cluster.register.answer(cluster.now, &call, 0).is_some_and(|answer| answer.is_full_list));
     cluster.tell(&mut copy, Caller::Core);
     assert_eq!(copy.catalog(), cluster.catalog());
 }
@@ -182,7 +185,7 @@
     let answer = |term, seq, version: Option<u64>| WatchAnswer {
         term,
         seq,
-        whole: true,
+        is_full_list: true,
         config: version.map(config).map(Rc::new),
         ..WatchAnswer::default()
     };
--- a/crates/replica/examples/change_cost.rs
+++ b/crates/replica/examples/change_cost.rs
@@ -5,7 +5,7 @@
 //! of one route. Times are the least of the repeats, in ms; no time passes on the network or at a disk.
 
 use nickeljunction_consensus::{Restored, Tuning};
-use nickeljunction_messages::{Caller, GatewayLine, Member, WatchAnswer, WatchCall};
+use nickeljunction_messages::{Caller, GatewayInfo, Member, WatchAnswer, WatchCall};
 use nickeljunction_registry::Copy;
 use nickeljunction_replica::{Answer, Change, Effects, Place, Replica};
 use nickeljunction_routing::Table;
@@ -115,7 +115,7 @@
 fn ask(copy: &Copy, gateway: usize) -> WatchCall {
     let name = format!("edge-{gateway}");
     let line =
-        GatewayLine { name: name.clone(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
+        GatewayInfo { name: name.clone(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
     copy.ask(Caller::Gateway, &name, 7, Some(line), 1_000)
 }
 
@@ -123,7 +123,7 @@
 fn gateway(copy: &mut Copy, text: &[u8]) {
     let answer: WatchAnswer = serde_json::from_slice(text).expect("an answer");
     assert!(copy.apply(answer).expect("it fits").config);
-    let config = Document::view(&copy.catalog().config.as_ref().expect("one").doc).expect("checked");
+    let config = Document::view(&copy.catalog().config.as_ref().expect("one").document).expect("checked");
     black_box(Table::of(&config));
 }
 
@@ -159,7 +159,7 @@
             }
         });
         apply.of(|| gateway(&mut copy, &answer));
-        let config = Document::view(&copy.catalog().config.as_ref().expect("one").doc).expect("checked");
+        let config = Document::view(&copy.catalog().config.as_ref().expect("one").document).expect("checked");
         compile.of(|| black_box(Table::of(&config)));
     }
     println!(
--- a/crates/replica/src/calls.rs
+++ b/crates/replica/src/calls.rs
@@ -124,7 +124,7 @@
 
     /// Nobody waits for this answer any more: what was not begun for it is not done.
     pub fn leave_off(&mut self, ticket: Ticket) {
-        self.claims.leave_off(ticket);
+        self.claims.cancel(ticket);
         self.reads.retain(|_, confirming| match &confirming.reading {
             Reading::Get(of) | Reading::Change(of, _) | Reading::Core(of, _) | Reading::Trial(of, ..) => {
                 *of != ticket
--- a/crates/replica/src/claims.rs
+++ b/crates/replica/src/claims.rs
@@ -4,7 +4,7 @@
 use crate::effects::{Answer, Ticket};
 use crate::machine::Replica;
 use crate::state::Entry;
-use nickeljunction_messages::{ClaimAnswer, ClaimCall, Elsewhere};
+use nickeljunction_messages::{ClaimAnswer, ClaimCall, LeaderRedirect};
 use nickeljunction_operations::{Batch, WaitingClaim};
 
 /// How long a claim waits for the log, ms. A later answer would find nobody: who asked repeats the claim unchanged.
@@ -24,13 +24,13 @@
     ///
     /// # Errors
     /// This member doesn't lead, or is not sure of it.
-    pub fn claim(&mut self, now: u64, call: &ClaimCall) -> Result<Claimed, Elsewhere> {
+    pub fn claim(&mut self, now: u64, call: &ClaimCall) -> Result<Claimed, LeaderRedirect> {
         self.with_lead(now, |_, _| ())?;
         if let Some(refusal) = self.state.operations().refusal(call) {
             return Ok(Claimed::Now(refusal));
         }
         let ticket = self.ticket();
-        if self.claims.note(WaitingClaim { call: *call, ticket, until: now + CLAIM_MS }) {
+        if self.claims.enqueue(WaitingClaim { call: *call, ticket, deadline: now + CLAIM_MS }) {
             self.turn_claims(now);
             self.out.sooner = true;
         } else {
@@ -49,7 +49,7 @@
     /// The same, to be followed by a turn where it is true.
     fn propose_claims(&mut self, now: u64) -> bool {
         let Some(batch) = self.claims.next_batch(now) else { return false };
-        let entry = Entry::Operations(batch.entry());
+        let entry = Entry::Operations(batch.to_entry());
         self.propose(now, &entry, now + CLAIM_MS, Proposed::Claims(batch));
         true
     }
@@ -57,7 +57,7 @@
     /// What became of an entry with claims. One that is not known to be on the log may still get there: who asked repeats
     /// its claim.
     pub(crate) fn claims_settled(&mut self, now: u64, batch: &Batch, is_logged: bool) {
-        self.claims.settled(batch);
+        self.claims.finish_batch(batch);
         let table = self.state.operations();
         for claim in &batch.claims {
             let answer = claim.answer(now, table).filter(|_| is_logged);
@@ -70,21 +70,21 @@
 
     /// Answers the claims that have waited for too long without getting into an entry.
     pub(crate) fn give_up_late_claims(&mut self, now: u64) {
-        let late = self.claims.take_late(now);
+        let late = self.claims.drain_expired(now);
         self.out.answers.extend(late.iter().map(|claim| (claim.ticket, Answer::Unknown)));
     }
 
     /// This member leads no more: nobody here puts the claims that wait on the log.
     pub(crate) fn hand_over_claims(&mut self) {
         let elsewhere = Answer::Elsewhere(self.elsewhere());
-        let waiting = self.claims.take_all();
+        let waiting = self.claims.drain_waiting();
         self.out.answers.extend(waiting.iter().map(|claim| (claim.ticket, elsewhere.clone())));
     }
 
     /// Has generations closed and forgotten.
     pub(crate) fn age_generations(&mut self, now: u64) {
         let Some(lead) = self.lead.as_mut().filter(|lead| !lead.generations_under_way) else { return };
-        let Some(entry) = lead.generations.due(now, self.state.operations()) else { return };
+        let Some(entry) = lead.generations.due_entry(now, self.state.operations()) else { return };
         lead.generations_under_way = true;
         self.propose_own(now, &Entry::Operations(entry), Proposed::Generations);
         self.turn(now, |_| ());
--- a/crates/replica/src/divergence.rs
+++ b/crates/replica/src/divergence.rs
@@ -12,7 +12,7 @@
 use crate::effects::Event;
 use crate::machine::Replica;
 use crate::state::{Entry, Outcome, ReplicatedState};
-use nickeljunction_messages::Restated;
+use nickeljunction_messages::StateTransfer;
 use nickeljunction_registry::Changes;
 use std::collections::VecDeque;
 
@@ -25,7 +25,7 @@
     /// Entries that were not applied, with their indexes.
     held: VecDeque<(u64, Entry)>,
     /// The leader's state, where its log goes further than what came here so far.
-    restated: Option<Restated>,
+    restated: Option<StateTransfer>,
 }
 
 impl Divergence {
@@ -81,9 +81,9 @@
     }
 
     /// The leader told its state; it is taken once all that is in it has come here.
-    pub(crate) fn restated(&mut self, now: u64, restated: Option<Restated>) {
+    pub(crate) fn restated(&mut self, now: u64, restated: Option<StateTransfer>) {
         if let (Some(divergence), Some(restated)) = (&mut self.divergence, restated) {
-            if divergence.follows(restated.after) {
+            if divergence.follows(restated.last_index) {
                 divergence.restated = Some(restated);
             }
         }
@@ -93,19 +93,19 @@
     /// Goes on from the leader's state, where that is due.
     pub(crate) fn rejoin(&mut self, now: u64) {
         let applied = self.applied;
-        let due = |divergence: &mut Divergence| divergence.restated.take_if(|it| it.after <= applied);
+        let due = |divergence: &mut Divergence| divergence.restated.take_if(|it| it.last_index <= applied);
         let Some(restated) = self.divergence.as_mut().and_then(due) else { return };
         let state = match ReplicatedState::from_text(&restated.state) {
             Ok(state) => state,
             Err(error) => {
                 let error = error.to_string();
-                return self.out.events.push(Event::SnapshotUnreadable { index: restated.after, error });
+                return self.out.events.push(Event::SnapshotUnreadable { index: restated.last_index, error });
             }
         };
         self.state = state;
-        self.out.events.push(Event::Restated { after: restated.after });
+        self.out.events.push(Event::StateTransfer { after: restated.last_index });
         let held = self.divergence.take().map(|divergence| divergence.held).unwrap_or_default();
-        for (index, entry) in held.into_iter().filter(|(index, _)| *index > restated.after) {
+        for (index, entry) in held.into_iter().filter(|(index, _)| *index > restated.last_index) {
             self.apply(now, index, entry);
         }
     }
--- a/crates/replica/src/effects.rs
+++ b/crates/replica/src/effects.rs
@@ -3,7 +3,7 @@
 use crate::members::{Unfit, Wish};
 use crate::state::{Outcome, Trial};
 use nickeljunction_consensus::{Entry, Envelope, Write};
-use nickeljunction_messages::{ClaimAnswer, Elsewhere, ServerState, UnitsAnswer};
+use nickeljunction_messages::{ClaimAnswer, LeaderRedirect, ServerState, UnitsAnswer};
 use nickeljunction_registry::Copy;
 
 /// Names a call that waits for its answer.
@@ -54,7 +54,7 @@
     /// Whether it was taken is not known any more: this version is as old as what was forgotten.
     Forgotten(u64),
     /// This member doesn't lead, or is not sure of it.
-    Elsewhere(Elsewhere),
+    Elsewhere(LeaderRedirect),
 }
 
 /// What operators may want to know.
@@ -92,5 +92,5 @@
     /// The entry made another document here than where it was proposed: this member's state isn't the log's any more.
     Diverged { index: u64, version: u64 },
     /// It goes on from the leader's state, which holds all up to this entry.
-    Restated { after: u64 },
+    StateTransfer { after: u64 },
 }
