--- a/crates/replica/src/lapsed_trials.rs
+++ b/crates/replica/src/lapsed_trials.rs
@@ -4,8 +4,8 @@
 use crate::effects::Event;
 use crate::machine::Replica;
 use crate::state::{Entry, ReplicatedState, Trial, TrialOrder};
-use nickeljunction_messages::{EbbAnswer, EbbCall, Elsewhere};
-use nickeljunction_pacing::{Curve, Pacer};
+use nickeljunction_messages::{LeaderRedirect, PaceSharesAnswer, PaceSharesCall};
+use nickeljunction_pacing::{Pacer, StageSchedule};
 use nickeljunction_registry::Tide;
 use nickeljunction_schema::Config;
 use serde::Serialize;
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct Turn {
     trial: Trial,
-    curve: Curve,
+    curve: StageSchedule,
     /// This leader took its step then, or found it at its start.
     taken: u64,
     holds: u64,
@@ -33,9 +33,9 @@
     /// When the next stage is to be proposed; `None`: there is none, or it is on its way.
     fn due(&self) -> Option<u64> {
         let Trial { lapses, stage, .. } = self.trial;
-        let more = if lapses { stage < self.curve.stages() } else { stage > 0 };
+        let more = if lapses { stage < self.curve.stage_count() } else { stage > 0 };
         // A whole time from here on, whatever passed before: a stage never lasts shorter.
-        let over = self.taken.saturating_add(self.curve.step(stage).for_ms);
+        let over = self.taken.saturating_add(self.curve.effect(stage).duration_ms);
         (more && !self.proposed).then_some(over.max(self.not_before))
     }
 }
@@ -66,7 +66,7 @@
         if self.version != state.version() && !trials.is_empty() || !trials.keys().all(known) {
             self.version = state.version();
             for tenant in trials.keys() {
-                let curve = Curve::of(config, tenant);
+                let curve = StageSchedule::for_tenant(config, tenant);
                 let fresh = Turn {
                     trial: Trial::default(),
                     curve: curve.clone(),
@@ -106,7 +106,7 @@
     /// Requests a second that pass over all gateways; `None`: it isn't slowed.
     fn pace(&self, tenant: &str) -> Option<f64> {
         let turn = self.turns.get(tenant).filter(|turn| turn.trial.stage > 0)?;
-        Some(turn.curve.step(turn.trial.stage).pace)
+        Some(turn.curve.effect(turn.trial.stage).pace_per_s)
     }
 }
 
@@ -147,17 +147,17 @@
         let config = self.config();
         let tides = self.lead.as_ref().map(|lead| &lead.tides);
         let view = |tenant: &String| {
-            let (trial, curve) = (self.state.trial(tenant), Curve::of(&config, tenant));
-            let (direction, state) = words(trial, curve.stages());
+            let (trial, curve) = (self.state.trial(tenant), StageSchedule::for_tenant(&config, tenant));
+            let (direction, state) = words(trial, curve.stage_count());
             let due = tides.and_then(|tides| tides.turns.get(tenant)?.due());
             TrialView {
                 step: trial.step,
                 stage: trial.stage,
-                stages: curve.stages(),
+                stages: curve.stage_count(),
                 direction,
                 state,
                 next_in_s: due.map(|due| due.saturating_sub(now) as f64 / 1_000.0),
-                pace: Some(curve.step(trial.stage).pace).filter(|pace| pace.is_finite()),
+                pace: Some(curve.effect(trial.stage).pace_per_s).filter(|pace| pace.is_finite()),
                 shares: tides.map(|tides| tides.pacer.shares(now, tenant)).unwrap_or_default(),
             }
         };
@@ -176,7 +176,7 @@
         }
         let trial = self.state.trial(tenant);
         let order = if lapse { TrialOrder::Lapse } else { TrialOrder::Restore };
-        let most = Curve::of(&self.config(), tenant).stages();
+        let most = StageSchedule::for_tenant(&self.config(), tenant).stage_count();
         let entry = Entry::Trial { tenant: tenant.to_owned(), base: trial.step, order, most };
         Ok((trial.lapses != lapse).then_some(entry))
     }
@@ -191,7 +191,7 @@
         for (tenant, turn) in &mut lead.tides.turns {
             if turn.due().is_some_and(|due| due <= now) {
                 turn.proposed = true;
-                let (base, most) = (turn.trial.step, turn.curve.stages());
+                let (base, most) = (turn.trial.step, turn.curve.stage_count());
                 entries.push(Entry::Trial { tenant: tenant.clone(), base, order: TrialOrder::Stage, most });
             }
         }
@@ -232,15 +232,15 @@
     ///
     /// # Errors
     /// This member doesn't lead, or is not sure of it.
-    pub fn ebb(&mut self, now: u64, call: &EbbCall) -> Result<EbbAnswer, Elsewhere> {
+    pub fn ebb(&mut self, now: u64, call: &PaceSharesCall) -> Result<PaceSharesAnswer, LeaderRedirect> {
         self.with_lead(now, |lead, _| {
             let gateways = lead.register.gateways() as usize;
             let mut pacer = std::mem::take(&mut lead.tides.pacer);
             let pace = |tenant: &str| lead.tides.pace(tenant);
-            let who = (call.name.as_str(), call.life, call.seq);
-            let shares = pacer.call(now, who, &call.demand, &call.held, pace, gateways);
+            let who = (call.name.as_str(), call.incarnation, call.seq);
+            let shares = pacer.allocate(now, who, &call.demand, &call.held, pace, gateways);
             lead.tides.pacer = pacer;
-            EbbAnswer { seq: call.seq, term: lead.term, shares }
+            PaceSharesAnswer { seq: call.seq, term: lead.term, shares }
         })
     }
 }
--- a/crates/replica/src/leader.rs
+++ b/crates/replica/src/leader.rs
@@ -6,7 +6,8 @@
 use crate::lapsed_trials::LapsedTrials;
 use crate::machine::Replica;
 use nickeljunction_messages::{
-    Caller, ConfigLine, Elsewhere, Restated, ServerState, UnitsAnswer, UnitsCall, WatchAnswer, WatchCall,
+    Caller, LeaderRedirect, ServerState, StateTransfer, UnitsAnswer, UnitsCall, VersionedConfig, WatchAnswer,
+    WatchCall,
 };
 use nickeljunction_operations::GenerationClock;
 use nickeljunction_quota::{Counter, Limit};
@@ -205,7 +206,7 @@
         if version > lead.version {
             lead.version = version;
             lead.counter.limits(now, &limits_of(&config, &self.place.bounds));
-            let line = Rc::new(ConfigLine { version, doc: self.state.doc().clone() });
+            let line = Rc::new(VersionedConfig { version, document: self.state.doc().clone() });
             lead.register.config(line, self.state.document_digest(), self.changes.clone());
         }
     }
@@ -231,7 +232,7 @@
         &mut self,
         now: u64,
         act: impl FnOnce(&mut Lead, u64) -> R,
-    ) -> Result<R, Elsewhere> {
+    ) -> Result<R, LeaderRedirect> {
         // A leader that was frozen or cut off may have a successor by now: it must not answer as one.
         let age = self.book.quorum_age(now).filter(|age| *age < self.lease_ms);
         let (Some(age), Some(lead)) = (age, &mut self.lead) else { return Err(self.elsewhere()) };
@@ -246,7 +247,7 @@
     ///
     /// # Errors
     /// This member doesn't lead, or is not sure of it.
-    pub fn units(&mut self, now: u64, call: &UnitsCall) -> Result<Lent, Elsewhere> {
+    pub fn units(&mut self, now: u64, call: &UnitsCall) -> Result<Lent, LeaderRedirect> {
         match self.with_lead(now, |lead, _| lead.counter.before(now, call))? {
             Some(roll) => Ok(Lent::Later(self.enroll_first(now, roll, call.clone()))),
             None => self.lend(now, call).map(Lent::Now),
@@ -254,15 +255,19 @@
     }
 
     /// The same, once the process is on the log.
-    pub(crate) fn lend_to_new(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, Elsewhere> {
-        self.with_lead(now, |lead, _| lead.counter.came(call.life))?;
+    pub(crate) fn lend_to_new(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, LeaderRedirect> {
+        self.with_lead(now, |lead, _| lead.counter.came(call.incarnation))?;
         self.lend(now, call)
     }
 
-    fn lend(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, Elsewhere> {
+    fn lend(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, LeaderRedirect> {
         self.with_lead(now, |lead, age_ms| {
             let gateways = lead.register.gateways() as usize;
-            UnitsAnswer { age_ms, version: lead.version, ..lead.counter.call(now, call, gateways) }
+            UnitsAnswer {
+                quorum_age_ms: age_ms,
+                version: lead.version,
+                ..lead.counter.call(now, call, gateways)
+            }
         })
     }
 
@@ -270,9 +275,9 @@
     ///
     /// # Errors
     /// As all here.
-    pub fn called(&mut self, now: u64, call: &WatchCall) -> Result<Held, Elsewhere> {
+    pub fn called(&mut self, now: u64, call: &WatchCall) -> Result<Held, LeaderRedirect> {
         let (seen, term) = self.with_lead(now, |lead, _| {
-            *lead.watching.entry(call.life).or_default() += 1;
+            *lead.watching.entry(call.incarnation).or_default() += 1;
             (lead.register.called(now, call), lead.term)
         })?;
         let brief = matches!(seen, Seen::NoLine | Seen::Replaced);
@@ -289,7 +294,7 @@
         now: u64,
         call: &WatchCall,
         held: &Held,
-    ) -> Result<Option<WatchAnswer>, Elsewhere> {
+    ) -> Result<Option<WatchAnswer>, LeaderRedirect> {
         let last = held.brief || now >= held.end || call.diverged;
         let answer = self.with_lead(now, |lead, age| {
             if !last && now < held.together_at && !lead.register.pressing(call) {
@@ -301,22 +306,24 @@
         if !matches!(answer, Ok(None)) {
             self.unwatched(call, held);
         }
-        let restated = call.diverged.then(|| Restated { after: self.applied, state: self.state.to_text() });
-        Ok(answer?.map(|answer| WatchAnswer { restated, ..answer }))
+        let restated =
+            call.diverged.then(|| StateTransfer { last_index: self.applied, state: self.state.to_text() });
+        Ok(answer?.map(|answer| WatchAnswer { state_transfer: restated, ..answer }))
     }
 
     /// A watch call has ended; true where its sender has no other one here.
     fn unwatched(&mut self, call: &WatchCall, held: &Held) -> bool {
         let lead = self.lead.as_mut().filter(|lead| lead.term == held.term);
-        lead.is_some_and(|lead| lead.unwatched(call.life))
+        lead.is_some_and(|lead| lead.unwatched(call.incarnation))
     }
 
     /// The caller of a held watch call went away before its answer. Its sender is gone where that was its last one.
     pub fn hung_up(&mut self, now: u64, call: &WatchCall, held: &Held) {
         // Whoever leads by then has a watch of its own.
-        if self.unwatched(call, held) && call.who == Caller::Gateway {
+        if self.unwatched(call, held) && call.caller == Caller::Gateway {
             self.out.events.push(Event::GatewayAway { name: call.name.clone() });
-            let _ = self.with_lead(now, |lead, _| lead.register.gateway_left(now, &call.name, call.life));
+            let _ =
+                self.with_lead(now, |lead, _| lead.register.gateway_left(now, &call.name, call.incarnation));
         }
     }
 
@@ -324,7 +331,7 @@
     ///
     /// # Errors
     /// As all here.
-    pub fn beat(&mut self, now: u64, id: &str, beat: &Beat) -> Result<Option<Round>, Elsewhere> {
+    pub fn beat(&mut self, now: u64, id: &str, beat: &Beat) -> Result<Option<Round>, LeaderRedirect> {
         let outcome = self.with_lead(now, |lead, _| lead.register.beat(now, id, beat))?;
         if matches!(outcome.kind, BeatKind::Came | BeatKind::Changed) {
             self.out.events.push(Event::Server {
@@ -359,7 +366,7 @@
     ///
     /// # Errors
     /// As all here.
-    pub fn gone(&mut self, now: u64, id: &str) -> Result<Round, Elsewhere> {
+    pub fn gone(&mut self, now: u64, id: &str) -> Result<Round, LeaderRedirect> {
         let seq = self.with_lead(now, |lead, _| lead.register.leave(now, id))?;
         self.out.events.push(Event::ServerGone { life: id.into() });
         self.begin_round(now, id, seq, Some(Departure::Ended))
@@ -372,7 +379,7 @@
         id: &str,
         seq: u64,
         departure: Option<Departure>,
-    ) -> Result<Round, Elsewhere> {
+    ) -> Result<Round, LeaderRedirect> {
         let Some(lead) = &mut self.lead else { return Err(self.elsewhere()) };
         let logged = self.state.departures();
         let number = departure.map_or(0, |departure| lead.departures.note(id, departure, logged));
@@ -423,7 +430,7 @@
     ///
     /// # Errors
     /// As all here, and where the log doesn't have it in time: whoever leads next might never hear of it.
-    pub fn come_round(&mut self, now: u64, round: &Round) -> Result<bool, Elsewhere> {
+    pub fn come_round(&mut self, now: u64, round: &Round) -> Result<bool, LeaderRedirect> {
         let (reach, term, is_logged) = self.with_lead(now, |lead, _| {
             (lead.register.reach(now, round.seq), lead.term, lead.departures.has_logged(round.departure))
         })?;
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -17,10 +17,10 @@
 //!   .read(now) -> Ticket   .change(now, Change) -> Ticket   .zone(now, zone, back) -> Ticket   .leave_off(ticket)
 //!   .order(now, Wish) -> Ticket   .core_view(now) -> CoreView   .trial(now, tenant, lapse) -> Ticket   .trials(now)
 //! for callers of the leader, by its lease:
-//!   .units(now, &call) -> Result<Lent, Elsewhere>   .ebb(now, &call) -> Result<EbbAnswer, Elsewhere>
-//!   .claim(now, &call) -> Result<Claimed, Elsewhere>
-//!   .called(now, &call) -> Result<Held, Elsewhere>   .watch(now, &call, &held) -> Result<Option<WatchAnswer>, Elsewhere>
-//!   .beat(now, id, &beat) -> Result<Option<Round>, Elsewhere>   .gone(now, id)   .come_round(now, &round)
+//!   .units(now, &call) -> Result<Lent, LeaderRedirect>   .ebb(now, &call) -> Result<PaceSharesAnswer, LeaderRedirect>
+//!   .claim(now, &call) -> Result<Claimed, LeaderRedirect>
+//!   .called(now, &call) -> Result<Held, LeaderRedirect>   .watch(now, &call, &held) -> Result<Option<WatchAnswer>, LeaderRedirect>
+//!   .beat(now, id, &beat) -> Result<Option<Round>, LeaderRedirect>   .gone(now, id)   .come_round(now, &round)
 //! for followers: .elsewhere() .ask(life) .learned(answer); to look at: .book() .state() .copy() .leads()
 //! ```
 //!
--- a/crates/replica/src/machine.rs
+++ b/crates/replica/src/machine.rs
@@ -8,8 +8,8 @@
 use crate::leader::Lead;
 use crate::state::{Entry, ReplicatedState};
 use nickeljunction_consensus::{Consensus, Envelope, Outputs, ReadTicket, Restored, Tuning};
-use nickeljunction_messages::{Caller, Elsewhere, GatewayLine, WatchAnswer, WatchCall};
-use nickeljunction_operations::ClaimLog;
+use nickeljunction_messages::{Caller, GatewayInfo, LeaderRedirect, WatchAnswer, WatchCall};
+use nickeljunction_operations::ClaimBatcher;
 use nickeljunction_quota::Counter;
 use nickeljunction_registry::{Applied, Changes, Copy, Refused, Register};
 use nickeljunction_schema::Bounds;
@@ -74,7 +74,7 @@
     /// Calls whose entries are on their way, by index, with their term and the time of their last moment.
     pub(crate) waits: BTreeMap<u64, (u64, u64, Proposed)>,
     /// Claims of keyed operations that wait for their entry.
-    pub(crate) claims: ClaimLog,
+    pub(crate) claims: ClaimBatcher,
     /// Calls that a majority is to confirm.
     pub(crate) reads: BTreeMap<ReadTicket, Confirming>,
     /// Calls that can go on.
@@ -107,7 +107,7 @@
             copy: Copy::new(),
             next_ticket: 0,
             waits: BTreeMap::new(),
-            claims: ClaimLog::default(),
+            claims: ClaimBatcher::default(),
             reads: BTreeMap::new(),
             settled: Vec::new(),
             age_at: now + AGE_MS,
@@ -131,7 +131,7 @@
         let late = late.chain(self.reads.values().map(|confirming| confirming.confirm_by));
         let tides = self.lead.iter().filter_map(|lead| lead.tides.wake());
         late.chain(tides)
-            .chain(self.claims.wake())
+            .chain(self.claims.next_deadline())
             .chain([self.book.next_wake(), self.age_at, self.hint_at])
             .min()
             .unwrap_or(self.age_at)
@@ -347,9 +347,9 @@
     // ---- For followers ----
 
     /// Who leads, as far as is known here; never this machine.
-    pub fn elsewhere(&self) -> Elsewhere {
+    pub fn elsewhere(&self) -> LeaderRedirect {
         let leader = self.book.leader().map(|member| member.host);
-        Elsewhere { leader: leader.filter(|host| *host != self.place.host) }
+        LeaderRedirect { leader: leader.filter(|host| *host != self.place.host) }
     }
 
     /// The call that asks a leader for what is new.
@@ -367,7 +367,7 @@
         if self.lead.is_some() {
             return Ok(Applied::default());
         }
-        let restated = answer.restated.take();
+        let restated = answer.state_transfer.take();
         let applied = self.copy.apply(answer)?;
         self.restated(now, restated);
         Ok(applied)
@@ -407,11 +407,11 @@
 
     /// While this member leads: for how long it has known the oldest generation of keyed operations to be closed, ms.
     pub fn oldest_generation_age(&self, now: u64) -> Option<u64> {
-        self.lead.as_ref()?.generations.oldest_age(now)
+        self.lead.as_ref()?.generations.oldest_closed_ms(now)
     }
 
     /// All gateways, as far as is known here.
-    pub fn roster(&self) -> Rc<Vec<GatewayLine>> {
+    pub fn roster(&self) -> Rc<Vec<GatewayInfo>> {
         match &self.lead {
             Some(lead) => lead.register.roster(),
             None => self.copy.catalog().roster.clone(),
--- a/crates/replica/src/operations_view.rs
+++ b/crates/replica/src/operations_view.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::Replica;
 use nickeljunction_messages::OperationId;
-use nickeljunction_operations::MOST_RECORDS;
+use nickeljunction_operations::MAX_RECORDS;
 use serde::Serialize;
 use std::net::Ipv4Addr;
 
@@ -73,13 +73,13 @@
     /// All operations, as this member, which leads, knows them.
     pub fn operations_view(&self, now: u64) -> OperationsView {
         let table = self.state.operations();
-        let generations = table.closed().start..table.open() + 1;
+        let generations = table.closed_generations().start..table.open_generation() + 1;
         let oldest = generations.clone().take(MOST_GENERATIONS);
         OperationsView {
-            remembered: table.operations(),
-            claims: table.records(),
-            most_claims: MOST_RECORDS,
-            waiting: self.claims.waiting(),
+            remembered: table.operation_count(),
+            claims: table.record_count(),
+            most_claims: MAX_RECORDS,
+            waiting: self.claims.waiting_count(),
             generations: generations.end - generations.start,
             oldest: oldest.map(|generation| self.generation_view(now, generation)).collect(),
         }
@@ -89,7 +89,7 @@
         let age = self.lead.as_ref().and_then(|lead| lead.generations.age(now, generation));
         GenerationView {
             generation,
-            claims: self.state.operations().records_in(generation),
+            claims: self.state.operations().record_count_in(generation),
             closed_ms: age.map(|age| age.closed_ms),
             forgotten_in_ms: age.map(|age| age.forgotten_in_ms),
         }
@@ -102,7 +102,7 @@
         };
         let holder = holding.claimant;
         let register = self.lead.as_ref().map(|lead| &lead.register);
-        let gateway = register.and_then(|register| register.gateway_of_life(now, holder.life));
+        let gateway = register.and_then(|register| register.gateway_of_life(now, holder.incarnation));
         let away_ms = gateway.as_ref().and_then(|gateway| gateway.away_ms);
         let state = match (&gateway, away_ms) {
             (None, _) => "holder_unknown",
@@ -111,7 +111,7 @@
         };
         let claim = ClaimView {
             host: holder.host,
-            life: holder.life,
+            life: holder.incarnation,
             number: holder.number,
             gateway: gateway.map(|gateway| gateway.line.name),
             away_ms,
--- a/crates/replica/tests/claims.rs
+++ b/crates/replica/tests/claims.rs
@@ -4,14 +4,14 @@
 
 use alone::Alone;
 use nickeljunction_messages::{
-    Caller, ClaimAnswer, ClaimCall, Claimant, GatewayLine, OperationId, WatchCall,
+    Caller, ClaimAnswer, ClaimCall, Claimant, GatewayInfo, OperationId, WatchCall,
 };
-use nickeljunction_operations::{Claim, OperationsEntry, MARGIN_MS, MOST_RECORDS};
+use nickeljunction_operations::{Claim, OperationsEntry, MAX_RECORDS, RETENTION_MARGIN_MS};
 use nickeljunction_replica::state::{Entry, ReplicatedState};
 use nickeljunction_replica::{Answer, Claimed};
 
 fn claimant(number: u64) -> Claimant {
-    Claimant { host: [10, 1, 0, 1].into(), life: 7, number }
+    Claimant { host: [10, 1, 0, 1].into(), incarnation: 7, number }
 }
 
 fn claim(operation: u128, number: u64) -> ClaimCall {
@@ -101,11 +101,11 @@
     let mut alone = Alone::new("", &[]);
     begin(&mut alone, &claim(1, 1));
     alone.write();
-    pass(&mut alone, 60_000 + MARGIN_MS);
-    assert_eq!(alone.replica.state().operations().operations(), 1);
+    pass(&mut alone, 60_000 + RETENTION_MARGIN_MS);
+    assert_eq!(alone.replica.state().operations().operation_count(), 1);
     // A quarter of the window until it is closed, and some looks.
     pass(&mut alone, 15_000 + 1_000);
-    assert_eq!(alone.replica.state().operations().records(), 0);
+    assert_eq!(alone.replica.state().operations().record_count(), 0);
 }
 
 #[test]
@@ -113,10 +113,10 @@
     let mut state = remembering(3);
     state.apply(Entry::Operations(OperationsEntry { close: Some(0), ..OperationsEntry::default() }));
     let mut alone = Alone::new(&state.to_text(), &[]);
-    pass(&mut alone, 60_000 + MARGIN_MS - 1_000);
-    assert_eq!(alone.replica.state().operations().operations(), 3);
+    pass(&mut alone, 60_000 + RETENTION_MARGIN_MS - 1_000);
+    assert_eq!(alone.replica.state().operations().operation_count(), 3);
     pass(&mut alone, 2_000);
-    assert_eq!(alone.replica.state().operations().operations(), 0);
+    assert_eq!(alone.replica.state().operations().operation_count(), 0);
 }
 
 #[test]
@@ -146,20 +146,20 @@
 /// The held call of the gateway whose process has the life of [`claimant`].
 fn watch() -> WatchCall {
     let line =
-        GatewayLine { name: "edge".into(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
+        GatewayInfo { name: "edge".into(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
     WatchCall {
-        who: Caller::Gateway,
+        caller: Caller::Gateway,
         name: "edge".into(),
-        life: claimant(1).life,
-        line: Some(line),
+        incarnation: claimant(1).incarnation,
+        gateway: Some(line),
         term: 0,
         seq: 0,
         version: 0,
         wait_ms: 1_000,
-        directory: false,
-        differences: true,
-        roster_differences: true,
-        told_whole: false,
+        serves_directory: false,
+        accepts_config_changes: true,
+        accepts_roster_changes: true,
+        has_full_server_list: false,
         diverged: false,
     }
 }
@@ -184,10 +184,10 @@
     assert_eq!(state(&alone), "holder_away");
 
     let all = alone.replica.operations_view(alone.now);
-    assert_eq!((all.remembered, all.claims, all.most_claims, all.generations), (1, 1, MOST_RECORDS, 2));
+    assert_eq!((all.remembered, all.claims, all.most_claims, all.generations), (1, 1, MAX_RECORDS, 2));
     let [closed, open] = &all.oldest[..] else { panic!("{all:?}") };
     let (since, until) = (closed.closed_ms.expect("closed"), closed.forgotten_in_ms.expect("closed"));
-    assert!((1..20_000).contains(&since) && since + until == 60_000 + MARGIN_MS, "{closed:?}");
+    assert!((1..20_000).contains(&since) && since + until == 60_000 + RETENTION_MARGIN_MS, "{closed:?}");
     assert_eq!((open.claims, open.closed_ms), (0, None));
     pass(&mut alone, until + 1_000);
     assert_eq!(state(&alone), "unclaimed");
--- a/crates/replica/tests/member.rs
+++ b/crates/replica/tests/member.rs
@@ -2,7 +2,7 @@
 
 use nickeljunction_consensus::{first_id, Envelope, Restored, Tuning};
 use nickeljunction_messages::{
-    Caller, ClaimCall, Claimant, EbbCall, GatewayLine, Member, OperationId, ServerState, TenantUnits,
+    Caller, ClaimCall, Claimant, GatewayInfo, Member, OperationId, PaceSharesCall, ServerState, TenantUnits,
     UnitsCall, WatchAnswer, WatchCall,
 };
 use nickeljunction_registry::{Beat, Copy};
@@ -170,33 +170,41 @@
 
 fn watch(life: u64) -> WatchCall {
     let line =
-        GatewayLine { name: "edge".into(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
+        GatewayInfo { name: "edge".into(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
     WatchCall {
-        who: Caller::Gateway,
+        caller: Caller::Gateway,
         name: "edge".into(),
-        life,
-        line: Some(line),
+        incarnation: life,
+        gateway: Some(line),
         term: 0,
         seq: 0,
         version: 0,
         wait_ms: 1_000,
-        directory: false,
-        differences: true,
-        roster_differences: true,
-        told_whole: false,
+        serves_directory: false,
+        accepts_config_changes: true,
+        accepts_roster_changes: true,
+        has_full_server_list: false,
         diverged: false,
     }
 }
 
 fn units(to: &Replica, life: u64, seq: u64) -> UnitsCall {
     let to = to.book().term();
-    let want = TenantUnits { want: 10, ..TenantUnits::default() };
+    let want = TenantUnits { requested: 10, ..TenantUnits::default() };
     let tenants = BTreeMap::from([("peach".into(), want)]);
-    UnitsCall { life, seq, to, all: true, name: "edge".into(), tenants, ..UnitsCall::default() }
+    UnitsCall {
+        incarnation: life,
+        seq,
+        counter_term: to,
+        is_full_report: true,
+        name: "edge".into(),
+        tenants,
+        ..UnitsCall::default()
+    }
 }
 
 fn claim(operation: u128, number: u64) -> ClaimCall {
-    let claimant = Claimant { host: [10, 1, 0, 1].into(), life: 7, number };
+    let claimant = Claimant { host: [10, 1, 0, 1].into(), incarnation: 7, number };
     ClaimCall { operation: OperationId(operation), claimant, released: None }
 }
 
@@ -236,7 +244,7 @@
     assert!(house.leads().is_some());
     assert!(house.watch(now, &watch(7), &held).is_err());
     assert!(house.units(now, &units(house, 7, 1)).is_err());
-    assert!(house.ebb(now, &EbbCall::default()).is_err());
+    assert!(house.ebb(now, &PaceSharesCall::default()).is_err());
     assert!(house.claim(now, &claim(1, 2)).is_err(), "nor told that another claim holds");
     assert!(house.beat(now, "i-2", &beat()).is_err());
     assert!(house.come_round(now, &round).is_err(), "not even for want of time");
@@ -369,14 +377,14 @@
     let mut core = Core::new(11);
     let leader = core.leader();
     let mut copy = Copy::new();
-    let line = GatewayLine { name: "g".into(), ..watch(7).line.expect("a line") };
+    let line = GatewayInfo { name: "g".into(), ..watch(7).gateway.expect("a line") };
     let ask = |copy: &Copy| WatchCall {
-        directory: true,
+        serves_directory: true,
         ..copy.ask(Caller::Gateway, "g", 9, Some(line.clone()), 1_000)
     };
     let other = |ready| {
-        let line = GatewayLine { ready, ..watch(7).line.expect("a line") };
-        WatchCall { line: Some(line), ..watch(7) }
+        let line = GatewayInfo { ready, ..watch(7).gateway.expect("a line") };
+        WatchCall { gateway: Some(line), ..watch(7) }
     };
     core.at(leader, |house, now| house.called(now, &other(true))).expect("it leads");
     // How long a call is held whose sender has all there is, while something changes.
@@ -418,7 +426,13 @@
     }
     let mut ask = |life: u64, demand: f64| {
         let demand = BTreeMap::from([("peach".to_string(), demand)]);
-        let call = EbbCall { name: format!("edge-{life}"), life, seq, demand, ..EbbCall::default() };
+        let call = PaceSharesCall {
+            name: format!("edge-{life}"),
+            incarnation: life,
+            seq,
+            demand,
+            ..PaceSharesCall::default()
+        };
         let answer = core.at(leader, |house, now| house.ebb(now, &call)).expect("it leads");
         answer.shares.get("peach").copied()
     };
@@ -576,8 +590,8 @@
     fn ask(name: &str, copy: &Copy) -> WatchCall {
         let ready = copy.term() > 0;
         let line =
-            GatewayLine { name: name.into(), front: "10.1.0.255:8481".into(), zone: "z1".into(), ready };
-        WatchCall { directory: true, ..copy.ask(Caller::Gateway, name, 7, Some(line), 1_000) }
+            GatewayInfo { name: name.into(), front: "10.1.0.255:8481".into(), zone: "z1".into(), ready };
+        WatchCall { serves_directory: true, ..copy.ask(Caller::Gateway, name, 7, Some(line), 1_000) }
     }
 
     fn turn(&mut self, core: &mut Core, leader: usize) {
--- a/crates/simulation/src/claimants.rs
+++ b/crates/simulation/src/claimants.rs
@@ -132,7 +132,8 @@
     }
 
     fn begin(&mut self, now: u64, operation: OperationId, released: Option<Claimant>) {
-        let claimant = Claimant { host: [10, 1, 0, 1].into(), life: 1, number: self.claims.len() as u64 };
+        let claimant =
+            Claimant { host: [10, 1, 0, 1].into(), incarnation: 1, number: self.claims.len() as u64 };
         let call = ClaimCall { operation, claimant, released };
         let phase = Phase::Asking { to: self.rng.usize(..self.members), again_at: now };
         self.claims.push(Claim { call, begun_at: now, phase });
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -4,7 +4,7 @@
 use crate::{node_of, Answer, Fact, Node, Out, Packet, Question, TENANT, WINDOW_MS};
 use nickeljunction_edge::lease::Lease;
 use nickeljunction_edge::watch::{Call, Ended, Step, Watcher, CONNECT_MS};
-use nickeljunction_messages::{Caller, GatewayLine, WatchAnswer, WatchCall};
+use nickeljunction_messages::{Caller, GatewayInfo, WatchAnswer, WatchCall};
 use nickeljunction_pacing::Throttle;
 use nickeljunction_quota::{Allowance, Spend};
 use nickeljunction_registry::{Copy, Leave, Refused};
@@ -118,7 +118,7 @@
 
     /// Step and stage that it goes by.
     pub fn tide(&self, now: u64) -> (u64, u32) {
-        let standings = self.throttle.clone().standings(now as f64);
+        let standings = self.throttle.clone().tenant_statuses(now as f64);
         standings.iter().find(|one| one.tenant == TENANT).map_or((0, 0), |one| (one.step, one.stage))
     }
 
@@ -149,7 +149,7 @@
         let name = format!("g{}", self.node);
         let zone = if self.node.is_multiple_of(2) { "z1" } else { "z2" };
         let front = format!("10.1.0.{}:80", self.node);
-        let line = GatewayLine { name: name.clone(), front, zone: zone.into(), ready: self.ready(now) };
+        let line = GatewayInfo { name: name.clone(), front, zone: zone.into(), ready: self.ready(now) };
         let ask = self.copy.ask(Caller::Gateway, &name, self.life, Some(line), call.hold_ms);
         let id = call.id;
         let mut watching = Watching { call, to, sent: now, unsent: None };
@@ -201,7 +201,7 @@
 
     /// `Link::learn`.
     fn learn(&mut self, now: u64, sent: u64, answer: WatchAnswer, out: &mut Out) -> Ended {
-        let (age, ready) = (answer.age_ms as f64, self.ready(now));
+        let (age, ready) = (answer.quorum_age_ms as f64, self.ready(now));
         let applied = match self.copy.apply(answer) {
             Ok(applied) => applied,
             // The next call is answered by a difference to what is held by now, or by the whole.
@@ -217,11 +217,11 @@
             self.allowance.fleet(catalog.gateways);
         }
         if let Some(config) = catalog.config.as_ref().filter(|_| applied.config) {
-            self.allowance.known(now, &limits(&config.doc, &Bounds::usual()));
+            self.allowance.known(now, &limits(&config.document, &Bounds::usual()));
         }
         for line in applied.trials {
             let (tenant, step, stage) = (line.tenant, line.step, line.stage);
-            let news = self.throttle.told(now as f64, &tenant, step, stage, line.in_ms as f64);
+            let news = self.throttle.set_stage(now as f64, &tenant, step, stage, line.in_ms as f64);
             assert!(news, "gateway {}: step {step} is news to its copy alone", self.node);
             out.facts.push(Fact::Tide { life: self.life, tenant, step, stage, holds: now + line.in_ms });
         }
--- a/crates/simulation/src/member.rs
+++ b/crates/simulation/src/member.rs
@@ -2,7 +2,7 @@
 
 use crate::{host, node_of, Answer, Fact, Node, Out, Packet, Question};
 use nickeljunction_consensus::{Consensus, Restored, Tuning, Write};
-use nickeljunction_messages::{Elsewhere, WatchCall};
+use nickeljunction_messages::{LeaderRedirect, WatchCall};
 use nickeljunction_registry::Copy;
 use nickeljunction_replica::state::ReplicatedState;
 use nickeljunction_replica::{
@@ -17,8 +17,8 @@
 /// Servers beat so often, ms.
 pub(crate) const HEARTBEAT_MS: u64 = 1_000;
 
-impl From<Elsewhere> for Answer {
-    fn from(elsewhere: Elsewhere) -> Answer {
+impl From<LeaderRedirect> for Answer {
+    fn from(elsewhere: LeaderRedirect) -> Answer {
         Answer::Elsewhere(elsewhere.leader)
     }
 }
@@ -346,7 +346,7 @@
         now: u64,
         job: Job,
         out: &mut Out,
-        ask: impl FnOnce(&mut Replica) -> Result<Reply, Elsewhere>,
+        ask: impl FnOnce(&mut Replica) -> Result<Reply, LeaderRedirect>,
     ) -> Option<Answer> {
         let house = self.house.as_mut()?;
         let answer = match ask(house) {
--- a/crates/simulation/tests/claims.rs
+++ b/crates/simulation/tests/claims.rs
@@ -160,7 +160,7 @@
         world.heal();
     }
     world.run(130_000);
-    assert_eq!(world.audit.state.operations().records(), 0, "seed {seed}: not forgotten");
+    assert_eq!(world.audit.state.operations().record_count(), 0, "seed {seed}: not forgotten");
     [world.claimants.granted, world.claimants.held, world.claimants.taken_over]
 }
 
--- a/crates/simulation/tests/cut_off.rs
+++ b/crates/simulation/tests/cut_off.rs
@@ -108,7 +108,7 @@
         7 => Question::Beat("late".into(), beat(ServerState::InService, number)),
         8 => Question::Beat(format!("gone{number}"), beat(ServerState::Draining, number)),
         9 => Question::Leave("left".into()),
-        10 => Question::Units(UnitsCall { life: 7 + number, seq: 1, ..UnitsCall::default() }),
+        10 => Question::Units(UnitsCall { incarnation: 7 + number, seq: 1, ..UnitsCall::default() }),
         _ => {
             Question::Watch(Copy::new().ask(nickeljunction_messages::Caller::Gateway, "onlooker", 9, None, 0))
         }
@@ -151,7 +151,7 @@
         if let Some(Answer::Watch(answer)) = &order.answer {
             let version = answer.config.as_ref().map_or(0, |config| config.version);
             // On its way for 3 ms at most.
-            let heard = order.answered_at.unwrap_or(0) - answer.age_ms - 3;
+            let heard = order.answered_at.unwrap_or(0) - answer.quorum_age_ms - 3;
             let missed = world
                 .audit
                 .acked
