--- a/crates/messages/src/operations.rs
+++ b/crates/messages/src/operations.rs
@@ -1,12 +1,12 @@
-//! Keyed operations: a gateway claims an operation at the leader before it sends the request to a server, and other
-//! gateways ask the one that holds the claim what became of it.
+//! Keyed operations (requests with an idempotency key): a gateway claims an operation at the leader before it sends the
+//! request to a server. Other gateways that receive a repeat ask the holder of the claim for the outcome.
 //!
 //! ```text
-//! gateway ── ClaimCall ──> leader        Granted: run it.  Held: another process claimed it.
-//! gateway ── RecallCall ──> holder       what became of it, with the first run's answer
+//! gateway ── ClaimCall ──> leader        Granted: run the operation.  Held: another process has claimed it.
+//! gateway ── RecallCall ──> holder       outcome of the operation, with the answer of the first run
 //! ```
 //!
-//! An operation is named by a digest of its tenant and its key, so that neither leaves the client's region.
+//! An operation is identified by a digest of its tenant and its key, so that neither leaves the client's region.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -14,25 +14,25 @@
 use std::hash::Hasher;
 use std::str::FromStr;
 
-/// Digest of a tenant and a key.
+/// Identifies an operation: digest of its tenant and its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationId(pub u128);
 
 impl fmt::Display for OperationId {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{:032x}", self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{:032x}", self.0)
     }
 }
 
 impl Serialize for OperationId {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for OperationId {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<OperationId, D::Error> {
-        String::deserialize(from)?.parse().map_err(serde::de::Error::custom)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<OperationId, D::Error> {
+        String::deserialize(deserializer)?.parse().map_err(serde::de::Error::custom)
     }
 }
 
@@ -40,18 +40,18 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<OperationId, &'static str> {
-        let is_digits = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        let number = is_digits.then(|| u128::from_str_radix(text, 16).ok()).flatten();
+        let is_well_formed = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let number = is_well_formed.then(|| u128::from_str_radix(text, 16).ok()).flatten();
         number.map(OperationId).ok_or("wants 32 hexadecimal digits")
     }
 }
 
 impl OperationId {
-    /// Of a key of a tenant; `None` is the tenant of routes that need no key.
+    /// The id of the operation with this key; `tenant` is `None` on routes that need no API key.
     pub fn of(tenant: Option<&str>, key: &str) -> OperationId {
         let mut hasher = SipHasher13::new();
         hasher.write(&[u8::from(tenant.is_some())]);
-        // With their lengths in front, so that no two rows of texts look alike.
+        // Each text is preceded by its length, so that different pairs of texts never give the same bytes.
         for text in [tenant.unwrap_or_default(), key] {
             hasher.write(&(text.len() as u64).to_le_bytes());
             hasher.write(text.as_bytes());
@@ -60,87 +60,88 @@
     }
 }
 
-/// Who claimed an operation: a process of a gateway, and the number of the claim in that process's life.
+/// The gateway process that claimed an operation, and the number of the claim within that process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claimant {
-    /// IP address of its machine; it answers [`RecallCall`]s on the first inner port.
+    /// IP address of the gateway's machine; it answers [`RecallCall`]s on the first internal port.
     #[serde(rename = "h")]
     pub host: std::net::Ipv4Addr,
-    /// Drawn at the start of its process.
+    /// Random number drawn at the start of the gateway's process.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Rises with each claim of this life.
+    /// Increases with each claim of this incarnation.
     #[serde(rename = "n")]
     pub number: u64,
 }
 
-/// A gateway would run an operation. Sent again unchanged it has the same outcome.
+/// A gateway asks to run an operation. The call is idempotent: sent again unchanged, it has the same result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimCall {
-    /// Which.
+    /// The operation to claim.
     #[serde(rename = "o")]
     pub operation: OperationId,
-    /// Who asks.
+    /// The caller.
     #[serde(rename = "c")]
     pub claimant: Claimant,
-    /// The claim that it takes over: its holder said that it was released, having run nowhere.
+    /// The claim to take over, if any: its holder has answered that no server ran the operation and that it has
+    /// released the claim.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub released: Option<Claimant>,
 }
 
-/// What became of a claim.
+/// Result of a [`ClaimCall`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimAnswer {
-    /// It is on a majority's disks: the caller, and nobody else, may run the operation.
+    /// The claim is on the disks of a majority: only the caller may run the operation.
     Granted,
-    /// Another claim came first.
+    /// This other claim was granted before.
     Held(Claimant),
-    /// As many operations are remembered as fit: nothing was claimed.
+    /// The table of operations is full: the claim was not granted.
     Full,
 }
 
-/// What became of the operation that this claim is for?
+/// Asks the holder of a claim for the outcome of the operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecallCall {
-    /// Which.
+    /// The claimed operation.
     #[serde(rename = "o")]
     pub operation: OperationId,
-    /// The claim, as the leader named it.
+    /// The claim, as the leader reported it in [`ClaimAnswer::Held`].
     #[serde(rename = "c")]
     pub claimant: Claimant,
-    /// Digest of the request that asks: another request under the same key gets no answer of the first one.
+    /// Digest of the repeated request: a different request under the same key must not get the answer of the first.
     #[serde(rename = "f")]
     pub request_digest: u64,
 }
 
-/// What a holder says of an operation.
+/// The holder's answer on the outcome of an operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecallAnswer {
-    /// A server may be at work on it.
+    /// A server may still be processing it.
     #[serde(rename = "at_work")]
     InProgress,
-    /// It ran nowhere and this claim will never be used: it may be taken over.
+    /// No server ran it and the holder will never use this claim: the claim may be taken over.
     Released,
-    /// It ran, and this is the answer that its client got.
+    /// A server ran it and the client received this answer.
     Answered(KeptAnswer),
-    /// It may have run; there is no answer, or none any more. It must not be run again.
+    /// A server may have run it, but no answer was received or the answer is no longer stored. It must not run again.
     InDoubt,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     OtherRequest,
 }
 
-/// A server's answer that is kept for repeats.
+/// A server's answer, stored for repeats of the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// Status.
+    /// HTTP status code.
     #[serde(rename = "s")]
     pub status: u16,
-    /// Header lines that go to the client, but for `X-Attempt-Id`.
+    /// Headers that are sent to the client, except `X-Attempt-Id`.
     #[serde(rename = "h")]
     pub headers: Vec<(String, String)>,
-    /// The body, base64.
+    /// The body in base64.
     #[serde(rename = "b")]
     pub body: String,
 }
