--- a/crates/operations/src/claim_batcher.rs
+++ b/crates/operations/src/claim_batcher.rs
@@ -1,33 +1,35 @@
-//! A leader's way of putting claims on the log: few entries are under way at a time, and what comes meanwhile goes with the
-//! next one.
+//! Batches claims on the leader: few log entries are in flight at a time, and claims that arrive meanwhile wait for
+//! the next entry.
 
 use crate::entry::{Claim, OperationsEntry, Takeover};
 use crate::table::OperationTable;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Claims of one entry at most: some 12 kB.
-const MOST_CLAIMS: usize = 256;
-/// Claims that wait for their entry at most.
-const MOST_WAITING: usize = 4_096;
-/// Entries under way at a time.
-const MOST_UNDER_WAY: usize = 1;
-/// Between the beginnings of two entries, ms: each costs a message to every member and back, and a sync at each.
-const ENTRY_EVERY_MS: u64 = 10;
-
-/// A claim whose caller waits.
+/// Maximum number of claims in one entry: about 12 kB.
+const MAX_BATCH_CLAIMS: usize = 256;
+/// Maximum number of claims that wait for an entry.
+const MAX_WAITING: usize = 4_096;
+/// Maximum number of entries in flight.
+const MAX_IN_FLIGHT: usize = 1;
+/// Minimum time between the starts of two entries, ms: each entry costs a round trip to every member, and a disk sync
+/// at each.
+const ENTRY_INTERVAL_MS: u64 = 10;
+
+/// A claim whose caller waits for the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingClaim {
-    /// The call.
+    /// The caller's claim.
     pub call: ClaimCall,
-    /// Names the caller.
+    /// Identifies the caller.
     pub ticket: u64,
-    /// Last moment for its answer, ms.
+    /// Latest time for the answer, ms.
     pub deadline: u64,
 }
 
 impl WaitingClaim {
-    /// Its answer, once the entry with it is applied; `None`: it waited for too long, and whoever asked may have given up.
+    /// The answer, after the entry with the claim was applied; `None` after the deadline, as the caller may have
+    /// given up.
     pub fn answer(&self, now: u64, table: &OperationTable) -> Option<ClaimAnswer> {
         if now > self.deadline {
             return None;
@@ -42,16 +44,16 @@
     }
 }
 
-/// Claims that are put on the log in one entry.
+/// Claims that are proposed in one log entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
     number: u64,
-    /// In the order in which they came.
+    /// In order of arrival.
     pub claims: Vec<WaitingClaim>,
 }
 
 impl Batch {
-    /// As an entry of the log.
+    /// The log entry with these claims.
     pub fn to_entry(&self) -> OperationsEntry {
         let mut entry = OperationsEntry::default();
         for WaitingClaim { call, .. } in &self.claims {
@@ -65,74 +67,76 @@
     }
 }
 
-/// See the module. It outlives the lead, as entries under way do.
+/// The queue of claims and the batches in flight. It persists when the leader loses its role, because entries in flight
+/// do, too.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimBatcher {
     waiting: VecDeque<WaitingClaim>,
-    /// Numbers of batches.
-    under_way: BTreeSet<u64>,
+    /// Numbers of the proposed batches.
+    in_flight: BTreeSet<u64>,
     next_number: u64,
-    /// The next batch doesn't begin before.
-    next_at: u64,
+    /// Earliest time of the next batch, ms.
+    next_batch_not_before: u64,
 }
 
 impl ClaimBatcher {
-    /// A claim came; false where too many wait, and it isn't taken.
+    /// Queues a claim; returns false if the queue is full.
     pub fn enqueue(&mut self, claim: WaitingClaim) -> bool {
-        let has_room = self.waiting.len() < MOST_WAITING;
+        let has_room = self.waiting.len() < MAX_WAITING;
         if has_room {
             self.waiting.push_back(claim);
         }
         has_room
     }
 
-    /// Claims that wait for their entry.
+    /// Number of claims that wait for an entry.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// What is to be put on the log now, if anything; [`ClaimBatcher::settled`] is to be told of it.
+    /// Returns the batch to propose now, if any. The caller must report its end to [`ClaimBatcher::finish_batch`].
     pub fn next_batch(&mut self, now: u64) -> Option<Batch> {
-        if self.next_batch_at()? > now {
+        if self.next_batch_due()? > now {
             return None;
         }
-        self.next_at = now + ENTRY_EVERY_MS;
-        let count = self.waiting.len().min(MOST_CLAIMS);
+        self.next_batch_not_before = now + ENTRY_INTERVAL_MS;
+        let count = self.waiting.len().min(MAX_BATCH_CLAIMS);
         let claims = self.waiting.drain(..count).collect();
         self.next_number += 1;
-        self.under_way.insert(self.next_number);
+        self.in_flight.insert(self.next_number);
         Some(Batch { number: self.next_number, claims })
     }
 
-    /// A batch is on the log, or was given up.
+    /// Ends a batch: its entry was committed, or the leader gave it up.
     pub fn finish_batch(&mut self, batch: &Batch) {
-        self.under_way.remove(&batch.number);
+        self.in_flight.remove(&batch.number);
     }
 
-    /// When [`ClaimBatcher::next_batch`] gives one; `None`: nothing waits, or an entry is under way.
-    fn next_batch_at(&self) -> Option<u64> {
-        let is_due = !self.waiting.is_empty() && self.under_way.len() < MOST_UNDER_WAY;
-        is_due.then_some(self.next_at)
+    /// Time from which [`ClaimBatcher::next_batch`] returns a batch; `None` if no claim waits or too many entries are
+    /// in flight.
+    fn next_batch_due(&self) -> Option<u64> {
+        let can_start = !self.waiting.is_empty() && self.in_flight.len() < MAX_IN_FLIGHT;
+        can_start.then_some(self.next_batch_not_before)
     }
 
-    /// When there is something to do: a batch to begin, or a claim whose last moment has come, ms.
+    /// Time of the next batch or of the oldest claim's deadline, whichever is earlier, ms.
     pub fn next_deadline(&self) -> Option<u64> {
-        let until = self.waiting.front().map(|claim| claim.deadline);
-        self.next_batch_at().into_iter().chain(until).min()
+        let deadline = self.waiting.front().map(|claim| claim.deadline);
+        self.next_batch_due().into_iter().chain(deadline).min()
     }
 
-    /// Takes out the claims whose last moment has come.
+    /// Removes and returns the waiting claims whose deadline has passed.
     pub fn drain_expired(&mut self, now: u64) -> Vec<WaitingClaim> {
-        let late = self.waiting.partition_point(|claim| claim.deadline <= now);
-        self.waiting.drain(..late).collect()
+        let expired = self.waiting.partition_point(|claim| claim.deadline <= now);
+        self.waiting.drain(..expired).collect()
     }
 
-    /// Takes out all that wait: this member leads no more.
+    /// Removes and returns all waiting claims; called when this member is no longer the leader.
     pub fn drain_waiting(&mut self) -> Vec<WaitingClaim> {
         self.waiting.drain(..).collect()
     }
 
-    /// This caller waits no more.
+    /// Removes the claim of a caller that no longer waits.
     pub fn cancel(&mut self, ticket: u64) {
         self.waiting.retain(|claim| claim.ticket != ticket);
     }
--- a/crates/operations/src/entry.rs
+++ b/crates/operations/src/entry.rs
@@ -1,44 +1,44 @@
-//! What an entry of the log says of operations.
+//! Log entries on operations.
 
-use crate::record::{append_claims, read_claims, read_takeovers, write_takeovers, RecordError};
+use crate::record::{append_claims, decode_claims, decode_takeovers, encode_takeovers, RecordError};
 use nickeljunction_messages::{Claimant, OperationId};
 use serde::{Deserialize, Serialize};
 
-/// Someone would run an operation.
+/// A gateway process asks for the right to run an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
-    /// Which.
+    /// The operation.
     pub operation: OperationId,
-    /// Who.
+    /// The gateway process.
     pub claimant: Claimant,
 }
 
-/// A claim in the place of one that was released.
+/// A claim that replaces a released one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Takeover {
-    /// The new one.
+    /// The new claim.
     pub claim: Claim,
-    /// The one that must hold the operation until then.
+    /// The claim to replace: the takeover only applies if it holds the operation.
     pub released: Claimant,
 }
 
-/// Claims, and what becomes of generations after them.
+/// Claims, and changes of generations that apply after them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(try_from = "Text", into = "Text")]
+#[serde(try_from = "EntryText", into = "EntryText")]
 pub struct OperationsEntry {
-    /// In their order: of two on one operation the first holds.
+    /// Applied in order: of two claims on one operation, the first is granted.
     pub claims: Vec<Claim>,
-    /// After the claims, in their order.
+    /// Applied in order, after the claims.
     pub takeovers: Vec<Takeover>,
-    /// The generation of this number is closed, where it is the open one.
+    /// Number of the generation to close; ignored if it isn't the open one.
     pub close: Option<u64>,
-    /// The generation of this number is forgotten, where it is the oldest and closed.
+    /// Number of the generation to forget; ignored unless it is the oldest one and closed.
     pub forget: Option<u64>,
 }
 
-/// An entry as it is written.
+/// Serialized form of an entry.
 #[derive(Clone, Serialize, Deserialize)]
-struct Text {
+struct EntryText {
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
     claims: String,
     #[serde(rename = "t", default, skip_serializing_if = "String::is_empty")]
@@ -49,22 +49,22 @@
     forget: Option<u64>,
 }
 
-impl From<OperationsEntry> for Text {
-    fn from(entry: OperationsEntry) -> Text {
+impl From<OperationsEntry> for EntryText {
+    fn from(entry: OperationsEntry) -> EntryText {
         let mut claims = String::new();
         append_claims(&mut claims, &entry.claims);
-        let takeovers = write_takeovers(&entry.takeovers);
-        Text { claims, takeovers, close: entry.close, forget: entry.forget }
+        let takeovers = encode_takeovers(&entry.takeovers);
+        EntryText { claims, takeovers, close: entry.close, forget: entry.forget }
     }
 }
 
-impl TryFrom<Text> for OperationsEntry {
+impl TryFrom<EntryText> for OperationsEntry {
     type Error = RecordError;
 
-    fn try_from(text: Text) -> Result<OperationsEntry, RecordError> {
+    fn try_from(text: EntryText) -> Result<OperationsEntry, RecordError> {
         Ok(OperationsEntry {
-            claims: read_claims(&text.claims)?,
-            takeovers: read_takeovers(&text.takeovers)?,
+            claims: decode_claims(&text.claims)?,
+            takeovers: decode_takeovers(&text.takeovers)?,
             close: text.close,
             forget: text.forget,
         })
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -1,15 +1,16 @@
-//! Claims of keyed operations on the agreed log. No I/O and no clock of its own.
+//! Claims of keyed operations on the replicated log. No I/O: the current time is an argument.
 //!
 //! ```text
-//! ClaimBatcher            claims that wait become batches, each one entry of the log
-//!   └─ OperationsEntry    applied at every member, in the log's order
-//!        └─ OperationTable    who holds which operation, in generations
-//! GenerationClock     a leader's measure of when a generation is closed, and when it is forgotten
+//! ClaimBatcher            batches waiting claims, one log entry per batch
+//!   └─ OperationsEntry    applied by every member, in log order
+//!        └─ OperationTable    holder of each operation, in generations
+//! GenerationClock     decides on the leader when a generation is closed, and when it is forgotten
 //! ```
 //!
-//! A record lives in the generation that was open when its claim was applied. A leader closes a generation now and then,
-//! and has it forgotten once it has led for longer than the window after it saw it closed. Only durations of one steady
-//! clock are compared; a leader that is new measures from its own beginning, so nothing is forgotten early.
+//! A record belongs to the generation that was open when its claim was applied. The leader closes a generation from
+//! time to time, and removes it when it has been the leader for longer than the window since it saw the generation
+//! closed. Only durations on one monotonic clock are compared. A new leader measures from the start of its
+//! leadership, so no record is removed early.
 
 mod claim_batcher;
 mod entry;
--- a/crates/operations/src/table.rs
+++ b/crates/operations/src/table.rs
@@ -1,65 +1,65 @@
-//! Who holds which operation, as the log's entries make it: the same at every member.
+//! The holder of each claimed operation: state that every member derives from the log entries.
 
 use crate::entry::{Claim, OperationsEntry};
-use crate::record::{append_claims, read_claims, RecordError, CLAIM_CHARACTERS};
+use crate::record::{append_claims, decode_claims, RecordError, CLAIM_CHARACTERS};
 use hashbrown::HashMap;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// Claims that are remembered at most.
+/// Maximum number of recorded claims.
 pub const MAX_RECORDS: usize = 200_000;
 
-/// Who holds an operation, by the newest claim that was granted.
+/// The holder of an operation: the claimant of its newest granted claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holding {
-    /// Who.
+    /// The holder.
     pub claimant: Claimant,
-    /// The generation of that claim.
+    /// Generation in which the claim was granted.
     pub generation: u64,
 }
 
-/// Operations that are claimed, in generations.
+/// Claimed operations, grouped in generations.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct OperationTable {
     holdings: HashMap<OperationId, Holding, ahash::RandomState>,
     /// Number of the oldest generation.
     oldest: u64,
-    /// Claims that were granted, as text, by generation: the oldest first, the open one last. A generation is only ever
-    /// added to, so that a snapshot copies texts. A claim of a later one takes the place of an earlier one's.
+    /// Granted claims as text, by generation: the oldest first, the open one last. Texts are append-only, so that a
+    /// snapshot only has to copy them. A claim replaces claims on the same operation in earlier generations.
     generations: VecDeque<String>,
 }
 
 impl OperationTable {
-    /// Nothing was ever claimed.
+    /// Whether no claim was ever granted.
     pub fn is_empty(&self) -> bool {
         self.oldest == 0 && self.generations.is_empty()
     }
 
-    /// How many operations are claimed.
+    /// Number of claimed operations.
     pub fn operation_count(&self) -> usize {
         self.holdings.len()
     }
 
-    /// Claims that are remembered: more than there are operations where one was claimed in several generations.
+    /// Number of recorded claims: higher than the number of operations if one was claimed in several generations.
     pub fn record_count(&self) -> usize {
         self.generations.iter().map(|text| text.len() / CLAIM_CHARACTERS).sum()
     }
 
-    /// Claims that are remembered in one generation.
+    /// Number of claims recorded in one generation.
     pub fn record_count_in(&self, generation: u64) -> usize {
-        let at = generation.checked_sub(self.oldest).and_then(|at| usize::try_from(at).ok());
-        let text = at.and_then(|at| self.generations.get(at));
+        let index = generation.checked_sub(self.oldest).and_then(|offset| usize::try_from(offset).ok());
+        let text = index.and_then(|index| self.generations.get(index));
         text.map_or(0, |text| text.len() / CLAIM_CHARACTERS)
     }
 
-    /// No more claims are granted until a generation is forgotten.
+    /// Whether the table is full: no claim is granted until a generation is forgotten.
     pub fn is_full(&self) -> bool {
         self.record_count() >= MAX_RECORDS
     }
 
-    /// Numbers of the generations that are closed.
+    /// Numbers of the closed generations.
     pub fn closed_generations(&self) -> Range<u64> {
         self.oldest..self.open_generation()
     }
@@ -69,22 +69,22 @@
         self.oldest + (self.generations.len() as u64).saturating_sub(1)
     }
 
-    /// Claims were granted in the open generation.
+    /// Whether claims were granted in the open generation.
     pub fn open_has_records(&self) -> bool {
         self.generations.back().is_some_and(|text| !text.is_empty())
     }
 
-    /// Who holds an operation.
+    /// The holder of an operation.
     pub fn holder(&self, operation: OperationId) -> Option<Claimant> {
         self.holding(operation).map(|holding| holding.claimant)
     }
 
-    /// Who holds an operation, and since which generation.
+    /// The holder of an operation, and the generation of its claim.
     pub fn holding(&self, operation: OperationId) -> Option<Holding> {
         self.holdings.get(&operation).copied()
     }
 
-    /// Why a claim isn't put on the log at all; `None`: the log decides.
+    /// The answer to a claim that is refused without a log entry; `None` if the claim must be proposed.
     pub fn refusal(&self, call: &ClaimCall) -> Option<ClaimAnswer> {
         let holder = self.holder(call.operation);
         let is_own = holder == Some(call.claimant);
@@ -95,10 +95,13 @@
         }
     }
 
-    /// Takes what an entry of the log says.
+    /// Applies a log entry.
     pub fn apply(&mut self, entry: &OperationsEntry) {
-        entry.claims.iter().for_each(|claim| self.claim(claim, None));
-        entry.takeovers.iter().for_each(|takeover| self.claim(&takeover.claim, Some(takeover.released)));
+        entry.claims.iter().for_each(|claim| self.apply_claim(claim, None));
+        entry
+            .takeovers
+            .iter()
+            .for_each(|takeover| self.apply_claim(&takeover.claim, Some(takeover.released)));
         if let Some(generation) = entry.close {
             self.close(generation);
         }
@@ -107,11 +110,11 @@
         }
     }
 
-    fn claim(&mut self, claim: &Claim, released: Option<Claimant>) {
+    fn apply_claim(&mut self, claim: &Claim, released: Option<Claimant>) {
         let open = self.open_generation();
         let is_granted = match self.holdings.get(&claim.operation) {
             None => true,
-            // Its holder repeats it: it is remembered from now on.
+            // The holder repeats its claim: record it in the open generation, so that it is kept for longer.
             Some(holding) if holding.claimant == claim.claimant => holding.generation != open,
             Some(holding) => released == Some(holding.claimant),
         };
@@ -143,13 +146,13 @@
         }
         let text = self.generations.pop_front().unwrap_or_default();
         self.oldest += 1;
-        for claim in read_claims(&text).unwrap_or_default() {
+        for claim in decode_claims(&text).unwrap_or_default() {
             let is_newest = |holding: &Holding| holding.generation == generation;
             if self.holdings.get(&claim.operation).is_some_and(is_newest) {
                 self.holdings.remove(&claim.operation);
             }
         }
-        // Memory is dear, and a peak of claims is over at some time.
+        // Memory is limited: return what a past peak of claims has allocated.
         if self.holdings.len() < self.holdings.capacity() / 4 {
             self.holdings.shrink_to_fit();
         }
@@ -158,7 +161,7 @@
     fn from_generations(oldest: u64, generations: VecDeque<String>) -> Result<OperationTable, RecordError> {
         let mut holdings = HashMap::default();
         for (generation, text) in (oldest..).zip(&generations) {
-            for Claim { operation, claimant } in read_claims(text)? {
+            for Claim { operation, claimant } in decode_claims(text)? {
                 holdings.insert(operation, Holding { claimant, generation });
             }
         }
@@ -167,26 +170,26 @@
 }
 
 #[derive(Serialize)]
-struct Written<'a> {
+struct TableRef<'a> {
     oldest: u64,
     generations: &'a VecDeque<String>,
 }
 
 #[derive(Deserialize)]
-struct Read {
+struct TableData {
     oldest: u64,
     generations: VecDeque<String>,
 }
 
 impl Serialize for OperationTable {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        Written { oldest: self.oldest, generations: &self.generations }.serialize(to)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        TableRef { oldest: self.oldest, generations: &self.generations }.serialize(serializer)
     }
 }
 
 impl<'de> Deserialize<'de> for OperationTable {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<OperationTable, D::Error> {
-        let Read { oldest, generations } = Read::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<OperationTable, D::Error> {
+        let TableData { oldest, generations } = TableData::deserialize(deserializer)?;
         OperationTable::from_generations(oldest, generations).map_err(serde::de::Error::custom)
     }
 }
--- a/crates/operations/tests/reference.rs
+++ b/crates/operations/tests/reference.rs
@@ -1,4 +1,5 @@
-//! Drawn histories of claims, lost and late entries, pauses and changes of leader, beside a reference that knows the time.
+//! Random histories of claims, lost and delayed entries, pauses and leader changes, checked against a reference model
+//! that knows the true time.
 
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId};
 use nickeljunction_operations::{
@@ -7,153 +8,156 @@
 use proptest::prelude::*;
 
 const WINDOW_MS: u64 = 60_000;
-const PATIENCE_MS: u64 = 600;
-/// Between two entries, ms.
-const ENTRY_EVERY_MS: u64 = 10;
-/// Between two looks of a leader at its generations, ms.
-const LOOK_MS: u64 = 200;
+/// How long a caller waits for an answer, ms.
+const ANSWER_TIMEOUT_MS: u64 = 600;
+/// Time between two entries, ms.
+const ENTRY_INTERVAL_MS: u64 = 10;
+/// Interval at which a leader checks its generations, ms.
+const CHECK_INTERVAL_MS: u64 = 200;
 
 #[derive(Debug, Clone)]
-enum Act {
+enum Action {
     /// A new claimant claims this operation.
     Claim(u8),
-    /// One of the claims is called again, unchanged.
+    /// One of the claims is sent again, unchanged.
     Repeat(prop::sample::Index),
-    /// Its claimant will never use it.
+    /// The claimant releases one of the claims: it will never use it.
     Release(prop::sample::Index),
-    /// A new claimant takes a claim over, if that was released.
+    /// A new claimant takes over one of the claims, if it was released.
     TakeOver(prop::sample::Index),
-    /// The batch under way is on the log.
+    /// The batch in flight is committed.
     Commit,
-    /// The batch under way is given up; it may still get on the log.
+    /// The leader gives up the batch in flight. If true, its entry is committed later nevertheless.
     TimeOut(bool),
-    /// Another leader, whose clock shows something else; the batch under way may be on its log.
-    Succeed(bool, u64),
-    Pass(u64),
+    /// A new leader takes over, with this clock offset, ms. If true, its log includes the batch in flight.
+    ChangeLeader(bool, u64),
+    /// Time passes, ms.
+    Wait(u64),
 }
 
-fn acts() -> impl Strategy<Value = Vec<Act>> {
-    let act = prop_oneof![
-        4 => (0..3u8).prop_map(Act::Claim),
-        2 => any::<prop::sample::Index>().prop_map(Act::Repeat),
-        2 => any::<prop::sample::Index>().prop_map(Act::Release),
-        4 => any::<prop::sample::Index>().prop_map(Act::TakeOver),
-        6 => Just(Act::Commit),
-        1 => any::<bool>().prop_map(Act::TimeOut),
-        1 => (any::<bool>(), 0..1u64 << 40).prop_map(|(with, offset)| Act::Succeed(with, offset)),
-        2 => (0..WINDOW_MS).prop_map(Act::Pass),
+fn actions() -> impl Strategy<Value = Vec<Action>> {
+    let action = prop_oneof![
+        4 => (0..3u8).prop_map(Action::Claim),
+        2 => any::<prop::sample::Index>().prop_map(Action::Repeat),
+        2 => any::<prop::sample::Index>().prop_map(Action::Release),
+        4 => any::<prop::sample::Index>().prop_map(Action::TakeOver),
+        6 => Just(Action::Commit),
+        1 => any::<bool>().prop_map(Action::TimeOut),
+        1 => (any::<bool>(), 0..1u64 << 40).prop_map(|(commits, offset)| Action::ChangeLeader(commits, offset)),
+        2 => (0..WINDOW_MS).prop_map(Action::Wait),
     ];
-    proptest::collection::vec(act, 1..200)
+    proptest::collection::vec(action, 1..200)
 }
 
-/// A claim as its claimant knows it.
+/// A claim in the reference model.
 #[derive(Debug)]
-struct Known {
+struct ModelClaim {
     call: ClaimCall,
-    /// When it was last granted, true time.
+    /// When it was last granted, in true time, ms.
     granted_at: Option<u64>,
     is_released: bool,
 }
 
-impl Known {
-    /// Its claimant may run the operation, or have run it, and nobody else may.
-    fn holds(&self, now: u64) -> bool {
-        !self.is_released && self.granted_at.is_some_and(|at| now < at + WINDOW_MS + RETENTION_MARGIN_MS)
+impl ModelClaim {
+    /// Whether the claimant has the exclusive right to run the operation, or may have run it.
+    fn is_in_force(&self, now: u64) -> bool {
+        !self.is_released
+            && self.granted_at.is_some_and(|granted_at| now < granted_at + WINDOW_MS + RETENTION_MARGIN_MS)
     }
 }
 
-struct World {
+struct Harness {
     /// True time, ms.
     now: u64,
-    /// The leader's clock is ahead by so much.
+    /// How far the leader's clock is ahead of the true time, ms.
     offset: u64,
     table: OperationTable,
-    log: ClaimBatcher,
+    batcher: ClaimBatcher,
     clock: GenerationClock,
-    under_way: Option<Batch>,
-    /// Given up, and yet to be on the log.
-    stray: Vec<OperationsEntry>,
-    known: Vec<Known>,
+    in_flight: Option<Batch>,
+    /// Entries that the leader gave up and that are committed later.
+    delayed: Vec<OperationsEntry>,
+    claims: Vec<ModelClaim>,
 }
 
-impl World {
-    fn new() -> World {
-        World {
+impl Harness {
+    fn new() -> Harness {
+        Harness {
             now: 0,
             offset: 1 << 20,
             table: OperationTable::default(),
-            log: ClaimBatcher::default(),
+            batcher: ClaimBatcher::default(),
             clock: GenerationClock::new(WINDOW_MS),
-            under_way: None,
-            stray: Vec::new(),
-            known: Vec::new(),
+            in_flight: None,
+            delayed: Vec::new(),
+            claims: Vec::new(),
         }
     }
 
-    fn act(&mut self, act: &Act) {
-        match act {
-            Act::Claim(operation) => self.claim(OperationId(u128::from(*operation) << 100), None),
-            Act::Repeat(of) => {
-                let call = self.pick(of).filter(|known| !known.is_released).map(|known| known.call);
+    fn perform(&mut self, action: &Action) {
+        match action {
+            Action::Claim(operation) => self.claim(OperationId(u128::from(*operation) << 100), None),
+            Action::Repeat(index) => {
+                let call = self.pick(index).filter(|claim| !claim.is_released).map(|claim| claim.call);
                 call.into_iter().for_each(|call| self.call(call));
             }
-            Act::Release(of) => self.pick(of).into_iter().for_each(|known| known.is_released = true),
-            Act::TakeOver(of) => {
-                let call = self.pick(of).filter(|known| known.is_released).map(|known| known.call);
+            Action::Release(index) => self.pick(index).into_iter().for_each(|claim| claim.is_released = true),
+            Action::TakeOver(index) => {
+                let call = self.pick(index).filter(|claim| claim.is_released).map(|claim| claim.call);
                 call.into_iter().for_each(|call| self.claim(call.operation, Some(call.claimant)));
             }
-            Act::Commit => self.commit(),
-            Act::TimeOut(commits) => self.give_up(*commits),
-            Act::Succeed(with, offset) => {
-                self.log.drain_waiting();
-                self.give_up(*with);
-                self.log = ClaimBatcher::default();
+            Action::Commit => self.commit(),
+            Action::TimeOut(commits) => self.give_up(*commits),
+            Action::ChangeLeader(commits, offset) => {
+                self.batcher.drain_waiting();
+                self.give_up(*commits);
+                self.batcher = ClaimBatcher::default();
                 self.offset = *offset;
                 self.clock = GenerationClock::new(WINDOW_MS);
-                self.apply_strays();
+                self.apply_delayed();
             }
-            Act::Pass(ms) => {
-                for _ in 0..ms / LOOK_MS {
-                    self.now += LOOK_MS;
-                    let due = self.clock.due_entry(self.now + self.offset, &self.table);
-                    due.into_iter().for_each(|entry| self.apply(&entry));
+            Action::Wait(ms) => {
+                for _ in 0..ms / CHECK_INTERVAL_MS {
+                    self.now += CHECK_INTERVAL_MS;
+                    let entry = self.clock.due_entry(self.now + self.offset, &self.table);
+                    entry.into_iter().for_each(|entry| self.apply(&entry));
                 }
             }
         }
     }
 
-    fn pick(&mut self, index: &prop::sample::Index) -> Option<&mut Known> {
-        let count = self.known.len();
-        (count > 0).then(|| &mut self.known[index.index(count)])
+    fn pick(&mut self, index: &prop::sample::Index) -> Option<&mut ModelClaim> {
+        let count = self.claims.len();
+        (count > 0).then(|| &mut self.claims[index.index(count)])
     }
 
     fn claim(&mut self, operation: OperationId, released: Option<Claimant>) {
         let claimant =
-            Claimant { host: [10, 0, 0, 9].into(), incarnation: 7, number: self.known.len() as u64 };
+            Claimant { host: [10, 0, 0, 9].into(), incarnation: 7, number: self.claims.len() as u64 };
         let call = ClaimCall { operation, claimant, released };
-        self.known.push(Known { call, granted_at: None, is_released: false });
+        self.claims.push(ModelClaim { call, granted_at: None, is_released: false });
         self.call(call);
     }
 
     fn call(&mut self, call: ClaimCall) {
-        self.now += ENTRY_EVERY_MS;
-        let until = self.now + self.offset + PATIENCE_MS;
-        assert!(self.log.enqueue(WaitingClaim { call, ticket: call.claimant.number, deadline: until }));
+        self.now += ENTRY_INTERVAL_MS;
+        let deadline = self.now + self.offset + ANSWER_TIMEOUT_MS;
+        assert!(self.batcher.enqueue(WaitingClaim { call, ticket: call.claimant.number, deadline }));
         self.propose();
     }
 
     fn propose(&mut self) {
-        if self.under_way.is_none() {
-            self.under_way = self.log.next_batch(self.now + self.offset);
+        if self.in_flight.is_none() {
+            self.in_flight = self.batcher.next_batch(self.now + self.offset);
         }
     }
 
     fn commit(&mut self) {
-        self.now += ENTRY_EVERY_MS;
-        let Some(batch) = self.under_way.take() else { return self.propose() };
-        self.apply_strays();
+        self.now += ENTRY_INTERVAL_MS;
+        let Some(batch) = self.in_flight.take() else { return self.propose() };
+        self.apply_delayed();
         self.apply(&batch.to_entry());
-        self.log.finish_batch(&batch);
+        self.batcher.finish_batch(&batch);
         for claim in &batch.claims {
             self.check_answer(&claim.call, claim.answer(self.now + self.offset, &self.table));
         }
@@ -161,49 +165,54 @@
     }
 
     fn give_up(&mut self, commits: bool) {
-        let Some(batch) = self.under_way.take() else { return };
-        self.log.finish_batch(&batch);
-        self.stray.extend(commits.then(|| batch.to_entry()));
+        let Some(batch) = self.in_flight.take() else { return };
+        self.batcher.finish_batch(&batch);
+        self.delayed.extend(commits.then(|| batch.to_entry()));
         self.propose();
     }
 
-    fn apply_strays(&mut self) {
-        std::mem::take(&mut self.stray).iter().for_each(|entry| self.apply(entry));
+    fn apply_delayed(&mut self) {
+        std::mem::take(&mut self.delayed).iter().for_each(|entry| self.apply(entry));
     }
 
-    /// As every member does, from what was written.
+    /// Applies an entry after encoding and decoding it, as every member does.
     fn apply(&mut self, entry: &OperationsEntry) {
         let text = serde_json::to_string(entry).expect("JSON");
-        let read: OperationsEntry = serde_json::from_str(&text).expect("its own text");
-        assert_eq!(&read, entry);
-        self.table.apply(&read);
+        let decoded: OperationsEntry = serde_json::from_str(&text).expect("decodes its own text");
+        assert_eq!(&decoded, entry);
+        self.table.apply(&decoded);
     }
 
     fn check_answer(&mut self, call: &ClaimCall, answer: Option<ClaimAnswer>) {
         let now = self.now;
         match answer {
             Some(ClaimAnswer::Granted) => {
-                let same = |known: &&Known| known.call.operation == call.operation && known.holds(now);
-                let other = self.known.iter().filter(same).find(|known| known.call.claimant != call.claimant);
-                let known = &self.known[call.claimant.number as usize];
-                assert!(known.is_released || other.is_none(), "{call:?} is granted beside {other:?}");
-                self.known[call.claimant.number as usize].granted_at = Some(now);
+                let in_force =
+                    |claim: &&ModelClaim| claim.call.operation == call.operation && claim.is_in_force(now);
+                let other =
+                    self.claims.iter().filter(in_force).find(|claim| claim.call.claimant != call.claimant);
+                let claim = &self.claims[call.claimant.number as usize];
+                assert!(
+                    claim.is_released || other.is_none(),
+                    "{call:?} is granted while {other:?} is in force"
+                );
+                self.claims[call.claimant.number as usize].granted_at = Some(now);
             }
             Some(ClaimAnswer::Held(holder)) => assert_ne!(holder, call.claimant),
-            Some(ClaimAnswer::Full) => panic!("nothing is full"),
+            Some(ClaimAnswer::Full) => panic!("the table is never full here"),
             None => {}
         }
     }
 
-    /// Nothing that was granted is forgotten within the window.
-    fn check_memory(&self) {
-        for known in self.known.iter().filter(|known| known.holds(self.now)) {
-            let holder = self.table.holder(known.call.operation);
-            assert_eq!(holder, Some(known.call.claimant), "at {}: {known:?}", self.now);
+    /// Checks that the table still has every granted claim within its window, and that it decodes to itself.
+    fn check_table(&self) {
+        for claim in self.claims.iter().filter(|claim| claim.is_in_force(self.now)) {
+            let holder = self.table.holder(claim.call.operation);
+            assert_eq!(holder, Some(claim.call.claimant), "at {} ms: {claim:?}", self.now);
         }
         let text = serde_json::to_string(&self.table).expect("JSON");
-        let read: OperationTable = serde_json::from_str(&text).expect("its own text");
-        assert_eq!(read, self.table);
+        let decoded: OperationTable = serde_json::from_str(&text).expect("decodes its own text");
+        assert_eq!(decoded, self.table);
     }
 }
 
@@ -211,46 +220,46 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn no_operation_is_granted_twice_or_forgotten_within_its_window(acts in acts()) {
-        let mut world = World::new();
-        for act in &acts {
-            world.act(act);
-            world.check_memory();
+    fn no_operation_is_granted_twice_or_forgotten_within_its_window(actions in actions()) {
+        let mut harness = Harness::new();
+        for action in &actions {
+            harness.perform(action);
+            harness.check_table();
         }
-        // A leader that stays forgets all of it at last.
-        world.give_up(false);
-        world.log.drain_waiting();
-        world.act(&Act::Pass(2 * (WINDOW_MS + RETENTION_MARGIN_MS)));
-        prop_assert_eq!((world.table.operation_count(), world.table.record_count()), (0, 0));
+        // If the leader does not change, it forgets everything in the end.
+        harness.give_up(false);
+        harness.batcher.drain_waiting();
+        harness.perform(&Action::Wait(2 * (WINDOW_MS + RETENTION_MARGIN_MS)));
+        prop_assert_eq!((harness.table.operation_count(), harness.table.record_count()), (0, 0));
     }
 }
 
 #[test]
-fn of_two_takeovers_of_one_release_one_is_granted() {
-    let mut world = World::new();
+fn only_one_of_two_takeovers_of_a_released_claim_is_granted() {
+    let mut harness = Harness::new();
     let operation = OperationId(5);
-    world.claim(operation, None);
-    world.commit();
-    world.known[0].is_released = true;
-    let released = Some(world.known[0].call.claimant);
-    world.claim(operation, released);
-    world.claim(operation, released);
-    world.commit();
-    world.commit();
-    let granted: Vec<bool> = world.known.iter().map(|known| known.granted_at.is_some()).collect();
+    harness.claim(operation, None);
+    harness.commit();
+    harness.claims[0].is_released = true;
+    let released = Some(harness.claims[0].call.claimant);
+    harness.claim(operation, released);
+    harness.claim(operation, released);
+    harness.commit();
+    harness.commit();
+    let granted: Vec<bool> = harness.claims.iter().map(|claim| claim.granted_at.is_some()).collect();
     assert_eq!(granted, [true, true, false]);
 }
 
 #[test]
-fn a_takeover_is_remembered_from_its_own_time() {
-    let mut world = World::new();
+fn a_taken_over_claim_is_kept_for_a_window_from_its_takeover() {
+    let mut harness = Harness::new();
     let operation = OperationId(5);
-    world.claim(operation, None);
-    world.commit();
-    world.known[0].is_released = true;
-    world.act(&Act::Pass(WINDOW_MS));
-    world.claim(operation, Some(world.known[0].call.claimant));
-    world.commit();
-    world.act(&Act::Pass(WINDOW_MS));
-    assert_eq!(world.table.holder(operation), Some(world.known[1].call.claimant));
+    harness.claim(operation, None);
+    harness.commit();
+    harness.claims[0].is_released = true;
+    harness.perform(&Action::Wait(WINDOW_MS));
+    harness.claim(operation, Some(harness.claims[0].call.claimant));
+    harness.commit();
+    harness.perform(&Action::Wait(WINDOW_MS));
+    assert_eq!(harness.table.holder(operation), Some(harness.claims[1].call.claimant));
 }
