--- a/crates/edge/src/ebb.rs
+++ b/crates/edge/src/ebb.rs
@@ -125,7 +125,7 @@
     }
 
     fn look(&self) {
-        let active = self.throttle.borrow().is_slowing(self.wheel.now());
+        let active = self.throttle.borrow().is_throttling(self.wheel.now());
         if !active {
             self.routes.borrow_mut().clear();
         }
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -1,13 +1,12 @@
-//! Gradual throttling of tenants whose trial has lapsed, at one gateway and over all of them. No I/O: times (`now`, ms of
-//! a monotonic clock) and messages are arguments.
+//! Gradual throttling of tenants whose trial has lapsed, at each gateway and over all gateways. No I/O: the time
+//! (`now`, ms of a monotonic clock) and messages are arguments.
 //!
-//! - [`StageSchedule`]: what each stage does to each [`Rank`] of requests, from the configuration.
-//! - [`Pacer`] runs at the leader: it divides a tenant's rate among gateways by demand.
-//! - [`Throttle`] runs in every gateway: it decides for each request whether it passes, is delayed, or is to be retried
-//!   later.
+//! - [`StageSchedule`]: what each stage does to requests of each [`Rank`], from the configuration.
+//! - [`Pacer`] runs on the leader: it divides a tenant's rate among gateways by demand.
+//! - [`Throttle`] runs in every gateway: it decides whether a request passes, is delayed, or has to be retried later.
 //!
-//! `docs/design/ebb.md` has the reasons. The quota rules don't depend on this crate: quota units admit requests, and a share
-//! of the rate only slows them.
+//! `docs/design/ebb.md` explains the design. Quotas don't depend on this crate: quota units decide whether a request is
+//! admitted, and a share of the rate only delays it.
 
 mod pacer;
 mod stage_schedule;
--- a/crates/pacing/src/stage_schedule.rs
+++ b/crates/pacing/src/stage_schedule.rs
@@ -1,20 +1,21 @@
-//! What a stage does, from the configuration.
+//! The stages of a lapsed trial and their effect, from the configuration.
 
 use nickeljunction_schema::{Config, Stage, Trial};
 
-/// In which order requests give way.
+/// Class of a request, which determines how strongly it is throttled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// They can wait: slowed first and most.
+    /// Requests that can wait: throttled first and most.
     Deferrable,
-    /// Interactive reads: slowed later and less.
+    /// Interactive reads: throttled later and less.
     Interactive,
-    /// Bookings: run at once, or declined at once.
+    /// Bookings: never delayed, but passed or declined at once.
     Booking,
 }
 
 impl Rank {
-    /// Of a route, by the number that it `gives_way` by: 1 first, 2 later, any other never.
+    /// The rank of a route with this `gives_way` setting: 1 is deferrable, 2 is interactive, any other value is a
+    /// booking.
     pub fn from_gives_way(gives_way: u32) -> Rank {
         match gives_way {
             1 => Rank::Deferrable,
@@ -24,21 +25,21 @@
     }
 }
 
-/// What one stage does.
+/// Effect of one stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StageEffect {
-    /// It lasts so long, ms.
+    /// How long the stage lasts, ms.
     pub duration_ms: u64,
-    /// Added wait of those that give way first, ms.
+    /// Delay added to deferrable requests, ms.
     pub deferrable_wait_ms: f64,
-    /// Added wait of interactive reads, ms.
+    /// Delay added to interactive reads, ms.
     pub interactive_wait_ms: f64,
-    /// Requests a second that pass over all gateways; infinite: no bound.
+    /// Requests per second that pass over all gateways together; infinite: no limit.
     pub pace_per_s: f64,
 }
 
 impl StageEffect {
-    /// Before the first stage.
+    /// Effect before the first stage: none.
     pub const NONE: StageEffect = StageEffect {
         duration_ms: 0,
         deferrable_wait_ms: 0.0,
@@ -46,7 +47,7 @@
         pace_per_s: f64::INFINITY,
     };
 
-    /// Added wait of a rank, ms.
+    /// Delay added to requests of a rank, ms.
     pub fn wait_ms(&self, rank: Rank) -> f64 {
         match rank {
             Rank::Deferrable => self.deferrable_wait_ms,
@@ -59,13 +60,13 @@
 /// The stages of a tenant's trial, the mildest first.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StageSchedule {
-    steps: Box<[StageEffect]>,
+    effects: Box<[StageEffect]>,
 }
 
 /// Length of each of the default stages, s.
 const DEFAULT_STAGE_S: f64 = 600.0;
 
-/// The stages of a tenant without any in the configuration.
+/// The stages of a tenant whose configuration has none.
 const DEFAULT_STAGES: [Stage; 6] = [
     default_stage(0.10, 0.0, 1.0),
     default_stage(0.20, 0.025, 0.9),
@@ -75,39 +76,41 @@
     default_stage(1.00, 0.20, 0.5),
 ];
 
-/// A stage with these delays, s, and this part of the tenant's rate.
+/// A stage with these delays, s, and a pace that is this fraction of the tenant's rate.
 const fn default_stage(wait_s: f64, read_wait_s: f64, pace: f64) -> Stage {
     Stage { for_s: DEFAULT_STAGE_S, wait_s, read_wait_s: Some(read_wait_s), pace: Some(pace) }
 }
 
 impl StageSchedule {
-    /// The curve of a tenant: the default one where the configuration has none for it.
+    /// The schedule of a tenant: the default stages if the configuration has none for it.
     pub fn for_tenant(config: &Config, tenant: &str) -> StageSchedule {
         let trial = config.trials.get(tenant);
         let stages = trial.map(|trial| trial.stages.clone()).filter(|stages| !stages.is_empty());
         let floor = trial.map_or(Trial::default().floor_per_s(), Trial::floor_per_s);
         let quota = config.tenants.get(tenant).and_then(|tenant| tenant.quota());
-        let step = |stage: &Stage| StageEffect {
+        let effect = |stage: &Stage| StageEffect {
             duration_ms: (stage.for_s * 1_000.0).ceil() as u64,
             deferrable_wait_ms: stage.wait_s * 1_000.0,
             interactive_wait_ms: stage.reads_s() * 1_000.0,
-            // A tenant without a limit is slowed by waits alone.
+            // A tenant without a rate limit is throttled by delays alone.
             pace_per_s: quota.map_or(f64::INFINITY, |(rate, _)| (rate * stage.pace()).max(floor)),
         };
-        StageSchedule { steps: stages.unwrap_or_else(|| DEFAULT_STAGES.to_vec()).iter().map(step).collect() }
+        StageSchedule {
+            effects: stages.unwrap_or_else(|| DEFAULT_STAGES.to_vec()).iter().map(effect).collect(),
+        }
     }
 
-    /// How many stages there are, 1 at least.
+    /// Number of stages, at least 1.
     pub fn stage_count(&self) -> u32 {
-        self.steps.len() as u32
+        self.effects.len() as u32
     }
 
-    /// What a stage does; 0: nothing. One beyond the last is the last: the configuration may have had more when it was
-    /// entered.
+    /// Effect of a stage; stage 0 has none. A number beyond the last stage means the last one: the configuration may
+    /// have had more stages when the stage was entered.
     pub fn effect(&self, stage: u32) -> StageEffect {
         match stage.min(self.stage_count()) {
             0 => StageEffect::NONE,
-            stage => self.steps[stage as usize - 1],
+            stage => self.effects[stage as usize - 1],
         }
     }
 }
--- a/crates/pacing/tests/throttle.rs
+++ b/crates/pacing/tests/throttle.rs
@@ -1,5 +1,6 @@
-//! Gradual throttling over nine gateways in virtual time: clients that send steadily, come back as they are told, and leave; gateways that ask
-//! the leader for shares each half second, are cut off, die and come anew.
+//! Gradual throttling over several gateways in virtual time. Clients send at a steady rate, retry when they are asked
+//! to, and give up after two retries. Gateways request shares from the leader every half second, lose contact with
+//! it, and restart.
 
 use nickeljunction_pacing::{Arrival, Pacer, Rank, StageSchedule, Throttle, Verdict};
 use nickeljunction_schema::Document;
@@ -9,363 +10,421 @@
 
 const TENANT: &str = "corner";
 const SERVICE_MS: f64 = 100.0;
-const LEFT_MS: f64 = 3_000.0;
+const CLIENT_TIMEOUT_MS: f64 = 3_000.0;
 const RANKS: [Rank; 3] = [Rank::Deferrable, Rank::Interactive, Rank::Booking];
 
-/// A curve with these stages (s, wait, wait of reads, part of a rate of 100 a second).
-fn curve(stages: &[(f64, f64, f64, f64)]) -> StageSchedule {
+/// A schedule with these stages: duration, s; delay, s; delay of reads, s; pace as a fraction of a rate of 100 per
+/// second.
+fn schedule(stages: &[(f64, f64, f64, f64)]) -> StageSchedule {
     let stage = |(for_s, wait_s, read_wait_s, pace): &(f64, f64, f64, f64)| serde_json::json!({"for_s": for_s, "wait_s": wait_s, "read_wait_s": read_wait_s, "pace": pace});
-    let raw = serde_json::json!({"config_version": 1, "routes": {}, "backends": {},
+    let config = serde_json::json!({"config_version": 1, "routes": {}, "backends": {},
         "tenants": {TENANT: {"api_keys": ["k"], "rate_per_s": 100}},
         "trials": {TENANT: {"floor_per_s": 5, "stages": stages.iter().map(stage).collect::<Vec<_>>()}}});
-    StageSchedule::for_tenant(Document::of(raw).expect("valid").config(), TENANT)
+    StageSchedule::for_tenant(Document::of(config).expect("valid").config(), TENANT)
 }
 
-/// A try under way to a gateway.
+/// A request that is on its way to a gateway.
 #[derive(Debug, Clone, Copy)]
-struct Try {
-    at: usize,
+struct Attempt {
+    gateway: usize,
     rank: Rank,
-    sent: f64,
-    left_ms: f64,
-    tries: u32,
-    /// Its request's first gateway, and when that had it.
+    /// When it arrives at the gateway, ms.
+    arrives: f64,
+    /// Time until the client's deadline, ms.
+    remaining_ms: f64,
+    /// Number of earlier attempts.
+    retries: u32,
+    /// Gateway and arrival time of the first attempt.
     first: (usize, f64),
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, Copy)]
-struct End {
-    /// Its first gateway.
-    at: usize,
+struct Completion {
+    /// Gateway of the first attempt.
+    gateway: usize,
     rank: Rank,
-    /// When that had it.
-    came: f64,
-    /// From then until it was handed on, wherever, ms; `None`: its client gave up.
+    /// Arrival time of the first attempt, ms.
+    arrived: f64,
+    /// Time from the first arrival until any gateway forwarded the request, ms; `None`: the client gave up.
     wait_ms: Option<f64>,
-    again: bool,
+    was_retried: bool,
 }
 
-struct World {
+struct Harness {
     seed: u64,
     rng: fastrand::Rng,
     now: f64,
-    curve: StageSchedule,
+    schedule: StageSchedule,
     throttles: Vec<Throttle>,
-    lives: Vec<u64>,
-    cut: Vec<bool>,
+    incarnations: Vec<u64>,
+    is_partitioned: Vec<bool>,
     pacer: Pacer,
+    /// Step and stage of the trial.
     stage: (u64, u32),
-    /// Part of all traffic at each gateway.
+    /// Relative traffic of each gateway.
     weights: Vec<f64>,
-    /// Requests a second by rank.
+    /// Requests per second, by rank.
     rates: [f64; 3],
-    tries: BinaryHeap<Reverse<(u64, u64)>>,
-    pending: BTreeMap<u64, Try>,
+    /// Arrival time, in microseconds, and number of each pending attempt, the earliest first.
+    arrivals: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Attempts on their way, by number.
+    pending: BTreeMap<u64, Attempt>,
     seq: u64,
-    ends: Vec<End>,
-    told: u64,
+    completions: Vec<Completion>,
+    retry_later_count: u64,
 }
 
-impl World {
-    fn new(seed: u64, curve: StageSchedule, weights: Vec<f64>, rates: [f64; 3]) -> World {
+impl Harness {
+    fn new(seed: u64, schedule: StageSchedule, weights: Vec<f64>, rates: [f64; 3]) -> Harness {
         let size = weights.len();
-        let mut world = World {
+        let mut harness = Harness {
             seed,
             rng: fastrand::Rng::with_seed(seed),
             now: 0.0,
-            curve,
+            schedule,
             throttles: Vec::new(),
-            lives: (0..size as u64).collect(),
-            cut: vec![false; size],
+            incarnations: (0..size as u64).collect(),
+            is_partitioned: vec![false; size],
             pacer: Pacer::default(),
             stage: (0, 0),
             weights,
             rates,
-            tries: BinaryHeap::new(),
+            arrivals: BinaryHeap::new(),
             pending: BTreeMap::new(),
             seq: 0,
-            ends: Vec::new(),
-            told: 0,
+            completions: Vec::new(),
+            retry_later_count: 0,
         };
-        world.throttles = vec![Throttle::default(); size];
-        world
+        harness.throttles = vec![Throttle::default(); size];
+        harness
     }
 
-    /// The next stage is on the log: everyone in touch hears of it.
-    fn enter(&mut self, stage: u32) {
+    /// Commits the next stage and sends it to all gateways that can reach the leader; it begins 300 ms later.
+    fn enter_stage(&mut self, stage: u32) {
         self.stage = (self.stage.0 + 1, stage);
-        (0..self.throttles.len()).for_each(|at| self.tell(at, 300.0));
+        (0..self.throttles.len()).for_each(|gateway| self.send_stage(gateway, 300.0));
     }
 
-    fn tell(&mut self, at: usize, in_ms: f64) {
+    fn send_stage(&mut self, gateway: usize, in_ms: f64) {
         let (step, stage) = self.stage;
-        if !self.cut[at] && step > 0 {
-            // On its way for up to 20 ms.
-            let late = self.rng.f64() * 20.0;
-            self.throttles[at].set_stage(self.now + late, TENANT, step, stage, (in_ms - late).max(0.0));
-            let curve = &self.curve;
-            self.throttles[at].set_schedules(|_| Some(curve.clone()));
+        if !self.is_partitioned[gateway] && step > 0 {
+            // The message takes up to 20 ms.
+            let latency = self.rng.f64() * 20.0;
+            self.throttles[gateway].set_stage(
+                self.now + latency,
+                TENANT,
+                step,
+                stage,
+                (in_ms - latency).max(0.0),
+            );
+            let schedule = &self.schedule;
+            self.throttles[gateway].set_schedules(|_| Some(schedule.clone()));
         }
     }
 
-    fn restart(&mut self, at: usize) {
-        self.throttles[at] = Throttle::default();
-        self.lives[at] += 100;
-        self.tell(at, 0.0);
+    fn restart(&mut self, gateway: usize) {
+        self.throttles[gateway] = Throttle::default();
+        self.incarnations[gateway] += 100;
+        self.send_stage(gateway, 0.0);
     }
 
-    fn shares(&mut self, at: usize) {
-        if self.cut[at] {
+    fn request_shares(&mut self, gateway: usize) {
+        if self.is_partitioned[gateway] {
             return;
         }
         self.seq += 1;
         let (demand, held) =
-            (self.throttles[at].demand(self.now), self.throttles[at].shares_in_use(self.now));
-        let (name, pace) = (format!("edge-{at}"), self.curve.effect(self.stage.1).pace_per_s);
-        let who = (name.as_str(), self.lives[at], self.seq);
+            (self.throttles[gateway].demand(self.now), self.throttles[gateway].shares_in_use(self.now));
+        let (name, pace) = (format!("edge-{gateway}"), self.schedule.effect(self.stage.1).pace_per_s);
+        let caller = (name.as_str(), self.incarnations[gateway], self.seq);
         let size = self.throttles.len();
-        let answer = self.pacer.allocate(self.now as u64, who, &demand, &held, |_| Some(pace), size);
-        self.throttles[at].set_shares(&answer);
+        let answer = self.pacer.allocate(self.now as u64, caller, &demand, &held, |_| Some(pace), size);
+        self.throttles[gateway].set_shares(&answer);
     }
 
-    fn push(&mut self, try_: Try) {
+    fn schedule_attempt(&mut self, attempt: Attempt) {
         self.seq += 1;
-        self.tries.push(Reverse(((try_.sent * 1_000.0) as u64, self.seq)));
-        self.pending.insert(self.seq, try_);
+        self.arrivals.push(Reverse(((attempt.arrives * 1_000.0) as u64, self.seq)));
+        self.pending.insert(self.seq, attempt);
     }
 
-    /// Plays until `end`, ms.
-    fn run(&mut self, end: f64) {
-        let all: f64 = self.weights.iter().sum();
-        for (at, weight) in self.weights.clone().into_iter().enumerate() {
+    /// Runs until `end`, ms.
+    fn run_until(&mut self, end: f64) {
+        let total_weight: f64 = self.weights.iter().sum();
+        for (gateway, weight) in self.weights.clone().into_iter().enumerate() {
             for (rank, rate) in RANKS.into_iter().zip(self.rates) {
-                // Steady with some luck, as of many clients.
-                let gap = 1_000.0 * all / (rate * weight).max(1e-9);
-                let mut next = self.now + gap * self.rng.f64();
+                // A steady rate with random gaps, as from many clients.
+                let mean_gap = 1_000.0 * total_weight / (rate * weight).max(1e-9);
+                let mut next = self.now + mean_gap * self.rng.f64();
                 while next < end {
-                    self.push(Try { at, rank, sent: next, left_ms: LEFT_MS, tries: 0, first: (at, next) });
-                    next += gap * (0.5 + self.rng.f64());
+                    self.schedule_attempt(Attempt {
+                        gateway,
+                        rank,
+                        arrives: next,
+                        remaining_ms: CLIENT_TIMEOUT_MS,
+                        retries: 0,
+                        first: (gateway, next),
+                    });
+                    next += mean_gap * (0.5 + self.rng.f64());
                 }
             }
         }
-        let mut asks: Vec<f64> = (0..self.throttles.len()).map(|at| self.now + 50.0 * at as f64).collect();
-        while let Some(Reverse((at_us, number))) = self.tries.pop() {
-            let now = at_us as f64 / 1_000.0;
+        let mut next_calls: Vec<f64> =
+            (0..self.throttles.len()).map(|gateway| self.now + 50.0 * gateway as f64).collect();
+        while let Some(Reverse((arrives_us, number))) = self.arrivals.pop() {
+            let now = arrives_us as f64 / 1_000.0;
             if now >= end {
-                self.tries.push(Reverse((at_us, number)));
+                self.arrivals.push(Reverse((arrives_us, number)));
                 break;
             }
-            for (at, ask) in asks.iter_mut().enumerate() {
-                while *ask <= now {
-                    self.now = self.now.max(*ask);
-                    self.shares(at);
-                    *ask += 500.0;
+            for (gateway, next_call) in next_calls.iter_mut().enumerate() {
+                while *next_call <= now {
+                    self.now = self.now.max(*next_call);
+                    self.request_shares(gateway);
+                    *next_call += 500.0;
                 }
             }
             self.now = self.now.max(now);
-            let try_ = self.pending.remove(&number).expect("pending");
-            self.arrive(try_);
+            let attempt = self.pending.remove(&number).expect("pending");
+            self.arrive(attempt);
         }
         self.now = end;
     }
 
-    fn arrive(&mut self, try_: Try) {
-        let Try { at, rank, left_ms, tries, first, .. } = try_;
-        let again = tries > 0;
-        let arrival = Arrival { rank, remaining_ms: left_ms, expected_ms: SERVICE_MS, is_retry: again };
-        let came = self.now;
-        let end = |until: Option<f64>| {
-            let wait_ms = until.map(|until| until - first.1);
-            End { at: first.0, rank, came: first.1, wait_ms, again }
+    fn arrive(&mut self, attempt: Attempt) {
+        let Attempt { gateway, rank, remaining_ms, retries, first, .. } = attempt;
+        let is_retry = retries > 0;
+        let arrival = Arrival { rank, remaining_ms, expected_ms: SERVICE_MS, is_retry };
+        let now = self.now;
+        let completion = |forwarded: Option<f64>| {
+            let wait_ms = forwarded.map(|forwarded| forwarded - first.1);
+            Completion { gateway: first.0, rank, arrived: first.1, wait_ms, was_retried: is_retry }
         };
-        match self.throttles[at].admit(came, TENANT, &arrival) {
-            Verdict::Pass => self.ends.push(end(Some(came))),
+        match self.throttles[gateway].admit(now, TENANT, &arrival) {
+            Verdict::Pass => self.completions.push(completion(Some(now))),
             Verdict::Delay { until } => {
-                assert!(until + SERVICE_MS <= came + left_ms, "seed {}: held beyond its time", self.seed);
-                assert!(rank != Rank::Booking, "seed {}: a booking was held", self.seed);
-                self.throttles[at].end_delay(TENANT);
-                self.ends.push(end(Some(until)));
+                assert!(
+                    until + SERVICE_MS <= now + remaining_ms,
+                    "seed {}: delayed beyond the client's deadline",
+                    self.seed
+                );
+                assert!(rank != Rank::Booking, "seed {}: a booking was delayed", self.seed);
+                self.throttles[gateway].end_delay(TENANT);
+                self.completions.push(completion(Some(until)));
             }
             Verdict::RetryLater { retry_after_ms } => {
-                self.told += 1;
-                let pause = retry_after_ms.min(left_ms / 3.0);
-                if tries >= 2 {
-                    return self.ends.push(end(None));
+                self.retry_later_count += 1;
+                let pause = retry_after_ms.min(remaining_ms / 3.0);
+                if retries >= 2 {
+                    return self.completions.push(completion(None));
                 }
-                // On a new connection: to any gateway.
-                let to = self.draw();
-                let (sent, left_ms) = (came + pause, left_ms - pause);
-                self.push(Try { at: to, rank, sent, left_ms, tries: tries + 1, first });
+                // The client opens a new connection, which may reach any gateway.
+                let gateway = self.pick_gateway();
+                let (arrives, remaining_ms) = (now + pause, remaining_ms - pause);
+                self.schedule_attempt(Attempt {
+                    gateway,
+                    rank,
+                    arrives,
+                    remaining_ms,
+                    retries: retries + 1,
+                    first,
+                });
             }
         }
     }
 
-    fn draw(&mut self) -> usize {
-        let mut lot = self.rng.f64() * self.weights.iter().sum::<f64>();
+    fn pick_gateway(&mut self) -> usize {
+        let mut point = self.rng.f64() * self.weights.iter().sum::<f64>();
         self.weights
             .iter()
             .position(|weight| {
-                (lot < *weight) || {
-                    lot -= weight;
+                (point < *weight) || {
+                    point -= weight;
                     false
                 }
             })
             .unwrap_or(0)
     }
 
-    /// Mean wait by gateway of a rank's requests that came in a span, of gateways with some.
-    fn waits(&self, rank: Rank, from: f64, to: f64) -> Vec<f64> {
+    /// Mean delay, by gateway, of the requests of a rank that arrived in a time span. Gateways without any are left
+    /// out.
+    fn mean_waits(&self, rank: Rank, from: f64, to: f64) -> Vec<f64> {
         let mut sums = vec![(0.0, 0); self.throttles.len()];
-        for end in self.ends.iter().filter(|end| end.rank == rank && (from..to).contains(&end.came)) {
-            if let Some(wait) = end.wait_ms {
-                sums[end.at] = (sums[end.at].0 + wait, sums[end.at].1 + 1);
+        let is_in_span =
+            |request: &&Completion| request.rank == rank && (from..to).contains(&request.arrived);
+        for request in self.completions.iter().filter(is_in_span) {
+            if let Some(wait_ms) = request.wait_ms {
+                let (sum, count) = sums[request.gateway];
+                sums[request.gateway] = (sum + wait_ms, count + 1);
             }
         }
         sums.into_iter().filter(|(_, count)| *count > 0).map(|(sum, count)| sum / f64::from(count)).collect()
     }
 
-    fn mean(&self, rank: Rank, from: f64, to: f64) -> f64 {
-        let waits = self.waits(rank, from, to);
+    fn mean_wait(&self, rank: Rank, from: f64, to: f64) -> f64 {
+        let waits = self.mean_waits(rank, from, to);
         waits.iter().sum::<f64>() / waits.len().max(1) as f64
     }
 }
 
-/// Jain's index of fairness: 1 where all are equal.
+/// Jain's fairness index: 1 if all values are equal.
 fn jain(values: &[f64]) -> f64 {
     let (sum, squares) = (values.iter().sum::<f64>(), values.iter().map(|value| value * value).sum::<f64>());
     sum * sum / (values.len() as f64 * squares).max(f64::MIN_POSITIVE)
 }
 
-const UNEVEN: [f64; 9] = [1.0, 1.0, 1.0, 2.0, 2.0, 2.0, 3.0, 3.0, 5.0];
+/// Relative traffic of nine gateways.
+const UNEVEN_WEIGHTS: [f64; 9] = [1.0, 1.0, 1.0, 2.0, 2.0, 2.0, 3.0, 3.0, 5.0];
 
 #[test]
-fn every_gateway_slows_alike_while_some_die_come_back_and_are_cut_off() {
+fn all_gateways_add_the_same_delay_through_restarts_and_partitions() {
     let stages = [(9.0, 0.1, 0.0, 1.0), (9.0, 0.25, 0.05, 1.0), (9.0, 0.5, 0.12, 0.9)];
     for seed in 0..6 {
-        let mut world = World::new(seed, curve(&stages), UNEVEN.to_vec(), [40.0, 25.0, 10.0]);
-        world.run(2_000.0);
-        world.enter(1);
-        world.run(11_000.0);
-        (world.cut[4], world.cut[8]) = (true, true);
-        world.enter(2);
-        world.run(13_000.0);
+        let mut harness = Harness::new(seed, schedule(&stages), UNEVEN_WEIGHTS.to_vec(), [40.0, 25.0, 10.0]);
+        harness.run_until(2_000.0);
+        harness.enter_stage(1);
+        harness.run_until(11_000.0);
+        (harness.is_partitioned[4], harness.is_partitioned[8]) = (true, true);
+        harness.enter_stage(2);
+        harness.run_until(13_000.0);
         assert!(
-            world.throttles[4].tenant_statuses(world.now)[0].stage == 1,
-            "who is cut off keeps the stage it knows"
+            harness.throttles[4].tenant_statuses(harness.now)[0].stage == 1,
+            "a partitioned gateway keeps its stage"
         );
-        (world.cut[4], world.cut[8]) = (false, false);
-        world.tell(4, 0.0);
-        world.tell(8, 0.0);
-        world.restart(7);
-        world.pacer = Pacer::default();
-        world.run(20_000.0);
-        world.enter(3);
-        world.run(30_000.0);
-        for (from, to, first, reads) in [
+        (harness.is_partitioned[4], harness.is_partitioned[8]) = (false, false);
+        harness.send_stage(4, 0.0);
+        harness.send_stage(8, 0.0);
+        harness.restart(7);
+        harness.pacer = Pacer::default();
+        harness.run_until(20_000.0);
+        harness.enter_stage(3);
+        harness.run_until(30_000.0);
+        for (from, to, deferrable_ms, reads_ms) in [
             (4_000.0, 11_000.0, 100.0, 0.0),
             (15_000.0, 20_000.0, 250.0, 50.0),
             (22_000.0, 30_000.0, 500.0, 120.0),
         ] {
-            let waits = world.waits(Rank::Deferrable, from, to);
+            let waits = harness.mean_waits(Rank::Deferrable, from, to);
             assert!(jain(&waits) >= 0.98, "seed {seed}, from {from}: {waits:?}");
-            let mean = world.mean(Rank::Deferrable, from, to);
-            assert!((mean - first).abs() < 0.1 * first, "seed {seed}, from {from}: {mean}");
-            let mean = world.mean(Rank::Interactive, from, to);
-            assert!((mean - reads).abs() < 10.0, "seed {seed}, from {from}: reads {mean}");
+            let mean = harness.mean_wait(Rank::Deferrable, from, to);
+            assert!((mean - deferrable_ms).abs() < 0.1 * deferrable_ms, "seed {seed}, from {from}: {mean}");
+            let mean = harness.mean_wait(Rank::Interactive, from, to);
+            assert!((mean - reads_ms).abs() < 10.0, "seed {seed}, from {from}: reads {mean}");
         }
-        // At five sixths of its pace next to nobody has to come back, at small gateways either.
-        let (told, all) = (world.told, world.ends.len() as u64);
-        assert!(told * 100 <= all, "seed {seed}: {told} of {all} told to come back");
-        assert!(world.mean(Rank::Booking, 0.0, 30_000.0) < 0.1, "seed {seed}: bookings wait for nothing");
+        // At five sixths of the pace hardly any client is asked to retry, at small gateways too.
+        let (retries, total) = (harness.retry_later_count, harness.completions.len() as u64);
+        assert!(retries * 100 <= total, "seed {seed}: {retries} of {total} requests were asked to retry");
+        assert!(harness.mean_wait(Rank::Booking, 0.0, 30_000.0) < 0.1, "seed {seed}: bookings were delayed");
     }
 }
 
 #[test]
-fn a_tenant_beyond_its_pace_gives_way_in_order_and_who_comes_back_as_told_is_served() {
+fn a_tenant_above_its_pace_is_throttled_by_rank() {
     for seed in 10..14 {
-        // 94 requests a second at a pace of 70: 12 bookings and 30 reads leave 28 of 52.
-        let mut world =
-            World::new(seed, curve(&[(60.0, 0.2, 0.05, 0.7)]), UNEVEN.to_vec(), [52.0, 30.0, 12.0]);
-        world.enter(1);
-        world.run(40_000.0);
-        let of = |rank| world.ends.iter().filter(move |end| end.rank == rank && end.came > 6_000.0);
-        let served = |rank| of(rank).filter(|end| end.wait_ms.is_some()).count() as f64;
-        let part = RANKS.map(|rank| served(rank) / of(rank).count() as f64);
-        assert_eq!(part[2], 1.0, "seed {seed}: bookings are run at once: {part:?}");
-        assert!(part[1] > 0.98 && part[0] < part[1], "seed {seed}: {part:?}");
-        assert!(part[0] > 0.45, "seed {seed}: the rest has what is left: {part:?}");
-        // The floor, in any second, and never far above the pace.
-        let mut seconds = [0.0; 40];
-        for end in world.ends.iter() {
-            if let Some(wait) = end.wait_ms {
-                let second = ((end.came + wait) / 1_000.0) as usize;
-                seconds.iter_mut().skip(second).take(1).for_each(|count| *count += 1.0);
+        // 94 requests per second at a pace of 70: 12 bookings and 30 reads leave 28 for the 52 deferrable requests.
+        let mut harness = Harness::new(
+            seed,
+            schedule(&[(60.0, 0.2, 0.05, 0.7)]),
+            UNEVEN_WEIGHTS.to_vec(),
+            [52.0, 30.0, 12.0],
+        );
+        harness.enter_stage(1);
+        harness.run_until(40_000.0);
+        let of = |rank| {
+            harness
+                .completions
+                .iter()
+                .filter(move |request| request.rank == rank && request.arrived > 6_000.0)
+        };
+        let served = |rank| of(rank).filter(|request| request.wait_ms.is_some()).count() as f64;
+        let served_fraction = RANKS.map(|rank| served(rank) / of(rank).count() as f64);
+        assert_eq!(served_fraction[2], 1.0, "seed {seed}: every booking passes: {served_fraction:?}");
+        assert!(
+            served_fraction[1] > 0.98 && served_fraction[0] < served_fraction[1],
+            "seed {seed}: {served_fraction:?}"
+        );
+        assert!(
+            served_fraction[0] > 0.45,
+            "seed {seed}: deferrable requests get the rest: {served_fraction:?}"
+        );
+        // Every second has at least the floor, and the mean is never far above the pace.
+        let mut per_second = [0.0; 40];
+        for request in harness.completions.iter() {
+            if let Some(wait_ms) = request.wait_ms {
+                let second = ((request.arrived + wait_ms) / 1_000.0) as usize;
+                per_second.iter_mut().skip(second).take(1).for_each(|count| *count += 1.0);
             }
         }
-        let least = seconds[2..38].iter().copied().fold(f64::INFINITY, f64::min);
-        let mean = seconds[8..38].iter().sum::<f64>() / 30.0;
+        let lowest = per_second[2..38].iter().copied().fold(f64::INFINITY, f64::min);
+        let mean = per_second[8..38].iter().sum::<f64>() / 30.0;
         assert!(
-            least >= 5.0 && (60.0..77.0).contains(&mean),
-            "seed {seed}: {least} at least, {mean}: {seconds:?}"
+            lowest >= 5.0 && (60.0..77.0).contains(&mean),
+            "seed {seed}: lowest {lowest}, mean {mean}: {per_second:?}"
         );
-        let waits = world.waits(Rank::Deferrable, 8_000.0, 40_000.0);
+        let waits = harness.mean_waits(Rank::Deferrable, 8_000.0, 40_000.0);
         assert!(jain(&waits) >= 0.98, "seed {seed}: {waits:?}");
     }
 }
 
 #[test]
-fn a_little_beyond_the_pace_whoever_is_told_when_to_come_is_served_then() {
-    let mut world = World::new(3, curve(&[(60.0, 0.1, 0.02, 0.5)]), vec![1.0; 3], [40.0, 10.0, 5.0]);
-    world.enter(1);
-    world.run(30_000.0);
-    let again: Vec<&End> = world.ends.iter().filter(|end| end.again).collect();
-    let lost = again.iter().filter(|end| end.wait_ms.is_none()).count();
-    assert!(again.len() > 20 && lost * 10 <= again.len(), "{lost} of {} told twice", again.len());
+fn slightly_above_the_pace_a_client_that_retries_when_asked_is_served() {
+    let mut harness = Harness::new(3, schedule(&[(60.0, 0.1, 0.02, 0.5)]), vec![1.0; 3], [40.0, 10.0, 5.0]);
+    harness.enter_stage(1);
+    harness.run_until(30_000.0);
+    let retried: Vec<&Completion> =
+        harness.completions.iter().filter(|request| request.was_retried).collect();
+    let failed = retried.iter().filter(|request| request.wait_ms.is_none()).count();
+    assert!(
+        retried.len() > 20 && failed * 10 <= retried.len(),
+        "{failed} of {} retried requests failed",
+        retried.len()
+    );
 }
 
 #[test]
-fn bookings_beyond_the_whole_pace_are_declined_at_once_and_run_when_they_come_back() {
-    let mut world = World::new(5, curve(&[(60.0, 0.4, 0.1, 0.2)]), vec![1.0; 3], [0.0, 0.0, 24.0]);
-    world.enter(1);
-    world.run(20_000.0);
-    let late = world.ends.iter().filter(|end| end.came > 5_000.0);
-    let (ran, again) = late
+fn bookings_above_the_pace_are_declined_at_once_and_pass_when_retried() {
+    let mut harness = Harness::new(5, schedule(&[(60.0, 0.4, 0.1, 0.2)]), vec![1.0; 3], [0.0, 0.0, 24.0]);
+    harness.enter_stage(1);
+    harness.run_until(20_000.0);
+    let bookings = harness.completions.iter().filter(|request| request.arrived > 5_000.0);
+    let (passed, passed_on_retry) = bookings
         .clone()
-        .filter(|end| end.wait_ms.is_some())
-        .fold((0, 0), |(ran, again), end| (ran + 1, again + u32::from(end.again)));
-    // 20 a second of 24: each is run or declined, and most of those that were declined are run at another try.
-    let all = late.count();
-    assert!(world.told > 20 && again > 20, "{} told, {again} run when they came back", world.told);
-    assert!((78..=100).contains(&(ran * 100 / all)), "{ran} of {all}");
+        .filter(|request| request.wait_ms.is_some())
+        .fold((0, 0), |(passed, on_retry), request| (passed + 1, on_retry + u32::from(request.was_retried)));
+    // 20 per second of 24 can pass: each booking passes or is declined, and most of the declined ones pass on a retry.
+    let total = bookings.count();
+    assert!(
+        harness.retry_later_count > 20 && passed_on_retry > 20,
+        "{} asked to retry, {passed_on_retry} passed on a retry",
+        harness.retry_later_count
+    );
+    assert!((78..=100).contains(&(passed * 100 / total)), "{passed} of {total} passed");
 }
 
-/// Clients whose deadlines differ look like ones that come back; while nobody was told to, they wait like all others.
+/// A request with a shorter deadline than others looks like a retry. As long as no client was asked to retry, it must
+/// be delayed like all others.
 #[test]
-fn a_short_deadline_alone_lets_nobody_pass() {
+fn a_short_deadline_alone_does_not_count_as_a_retry() {
     let mut throttle = Throttle::default();
     throttle.set_stage(0.0, TENANT, 1, 1, 0.0);
-    throttle.set_schedules(|_| Some(curve(&[(60.0, 0.4, 0.1, 1.0)])));
+    throttle.set_schedules(|_| Some(schedule(&[(60.0, 0.4, 0.1, 1.0)])));
     for number in 0..200 {
         let now = 2_000.0 + 50.0 * f64::from(number);
-        let left_ms = 2_000.0 + 10.0 * f64::from(number % 200);
-        let arrival = Arrival {
-            rank: Rank::Deferrable,
-            remaining_ms: left_ms,
-            expected_ms: 100.0,
-            is_retry: number % 4 != 0,
-        };
+        let remaining_ms = 2_000.0 + 10.0 * f64::from(number % 200);
+        let arrival =
+            Arrival { rank: Rank::Deferrable, remaining_ms, expected_ms: 100.0, is_retry: number % 4 != 0 };
         assert_eq!(throttle.admit(now, TENANT, &arrival), Verdict::Delay { until: now + 400.0 });
         throttle.end_delay(TENANT);
     }
 }
 
 #[test]
-fn lapsed_restored_and_lapsed_again_at_once_with_late_words_and_a_frozen_gateway() {
+fn delays_follow_lapse_restore_and_new_lapse_despite_delayed_messages_and_a_paused_gateway() {
     let mut throttle = Throttle::default();
     let stages = [(9.0, 0.1, 0.0, 1.0), (9.0, 0.4, 0.1, 1.0), (9.0, 0.8, 0.2, 1.0)];
-    let slow = |throttle: &mut Throttle, now: f64| {
-        throttle.set_schedules(|_| Some(curve(&stages)));
+    let delay_ms = |throttle: &mut Throttle, now: f64| {
+        throttle.set_schedules(|_| Some(schedule(&stages)));
         let arrival =
             Arrival { rank: Rank::Deferrable, remaining_ms: 9_000.0, expected_ms: 10.0, is_retry: false };
         match throttle.admit(now, TENANT, &arrival) {
@@ -374,57 +433,68 @@
                 until - now
             }
             Verdict::Pass => 0.0,
-            told => panic!("{told:?}"),
+            verdict => panic!("{verdict:?}"),
         }
     };
-    assert!(!throttle.is_slowing(0.0) && slow(&mut throttle, 0.0) == 0.0);
+    assert!(!throttle.is_throttling(0.0) && delay_ms(&mut throttle, 0.0) == 0.0);
     assert!(throttle.set_stage(0.0, TENANT, 1, 1, 300.0));
-    assert_eq!(slow(&mut throttle, 299.0), 0.0, "before its moment");
-    assert_eq!(slow(&mut throttle, 2_000.0), 100.0);
-    // It stood still while two stages passed, and wakes in the third; the second's word comes late.
+    assert_eq!(delay_ms(&mut throttle, 299.0), 0.0, "before the stage begins");
+    assert_eq!(delay_ms(&mut throttle, 2_000.0), 100.0);
+    // The gateway was paused while two stages passed, and resumes in the third; the message on the second comes late.
     assert!(throttle.set_stage(30_000.0, TENANT, 3, 3, 0.0));
-    assert!(!throttle.set_stage(30_001.0, TENANT, 2, 2, 0.0), "a word of before leads back");
-    assert_eq!(slow(&mut throttle, 30_500.0), 450.0, "half way between the stages");
-    assert_eq!(slow(&mut throttle, 32_000.0), 800.0);
-    // Restored: down again over the ramp, and no step.
+    assert!(
+        !throttle.set_stage(30_001.0, TENANT, 2, 2, 0.0),
+        "an older message must not lead back to an earlier stage"
+    );
+    assert_eq!(delay_ms(&mut throttle, 30_500.0), 450.0, "half way between the stages");
+    assert_eq!(delay_ms(&mut throttle, 32_000.0), 800.0);
+    // Restored: the delay falls gradually over the ramp, without a jump.
     assert!(throttle.set_stage(40_000.0, TENANT, 4, 0, 0.0));
-    let mut last = 800.0;
-    for at in 1..=10 {
-        let wait = slow(&mut throttle, 40_000.0 + 100.0 * f64::from(at));
-        assert!(wait <= last && last - wait < 81.0, "{last} {wait}");
-        last = wait;
+    let mut previous = 800.0;
+    for step in 1..=10 {
+        let wait = delay_ms(&mut throttle, 40_000.0 + 100.0 * f64::from(step));
+        assert!(wait <= previous && previous - wait < 81.0, "{previous} {wait}");
+        previous = wait;
     }
-    assert!(!throttle.is_slowing(41_000.0));
-    assert!(throttle.set_stage(41_100.0, TENANT, 5, 1, 0.0) && throttle.is_slowing(41_100.0));
-    assert_eq!(slow(&mut throttle, 43_000.0), 100.0);
+    assert!(!throttle.is_throttling(41_000.0));
+    assert!(throttle.set_stage(41_100.0, TENANT, 5, 1, 0.0) && throttle.is_throttling(41_100.0));
+    assert_eq!(delay_ms(&mut throttle, 43_000.0), 100.0);
 }
 
 #[test]
-fn a_thousand_lapsed_tenants_hold_a_bounded_number_of_requests() {
+fn the_number_of_delayed_requests_is_bounded_with_a_thousand_lapsed_tenants() {
     let mut throttle = Throttle::default();
     let arrival =
         Arrival { rank: Rank::Deferrable, remaining_ms: 2_000.0, expected_ms: 100.0, is_retry: false };
-    let (mut held, mut told) = (0, 0);
+    let (mut delayed, mut retry_later) = (0, 0);
     for tenant in 0..1_000 {
         throttle.set_stage(0.0, &tenant.to_string(), 1, 1, 0.0);
     }
-    throttle.set_schedules(|_| Some(curve(&[(9.0, 0.5, 0.1, 1.0)])));
+    throttle.set_schedules(|_| Some(schedule(&[(9.0, 0.5, 0.1, 1.0)])));
     for tenant in 0..1_000 {
         for _ in 0..3 {
             match throttle.admit(2_000.0, &tenant.to_string(), &arrival) {
-                Verdict::Delay { .. } => held += 1,
+                Verdict::Delay { .. } => delayed += 1,
                 Verdict::RetryLater { retry_after_ms } => {
                     assert!(retry_after_ms > 0.0);
-                    told += 1;
+                    retry_later += 1;
                 }
-                Verdict::Pass => panic!("the stage has a wait"),
+                Verdict::Pass => panic!("the stage has a delay"),
             }
         }
     }
-    assert_eq!((held, told), (256, 2_744));
-    assert_eq!(throttle.admit(2_000.0, "other", &arrival), Verdict::Pass, "who never lapsed feels nothing");
-    let last = Arrival { rank: Rank::Booking, ..arrival };
-    assert_eq!(throttle.admit(2_000.0, "0", &last), Verdict::Pass, "a booking needs no place in the queue");
+    assert_eq!((delayed, retry_later), (256, 2_744));
+    assert_eq!(
+        throttle.admit(2_000.0, "other", &arrival),
+        Verdict::Pass,
+        "a tenant whose trial never lapsed is not throttled"
+    );
+    let booking = Arrival { rank: Rank::Booking, ..arrival };
+    assert_eq!(
+        throttle.admit(2_000.0, "0", &booking),
+        Verdict::Pass,
+        "a booking does not count as a delayed request"
+    );
     (0..256).for_each(|_| throttle.end_delay("0"));
     assert!(matches!(throttle.admit(2_000.0, "999", &arrival), Verdict::Delay { .. }));
 }
@@ -432,24 +502,25 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever comes in whatever order: nothing is held beyond its time, bookings never, and what is told is a time above 0.
+    /// For any sequence of requests: none is delayed beyond its deadline, bookings are never delayed, and every time
+    /// after which to retry is within its limits.
     #[test]
-    fn nobody_is_held_beyond_the_time_that_it_has(
+    fn no_request_is_delayed_beyond_its_deadline(
         share in 0.0f64..40.0,
-        calls in proptest::collection::vec((0u8..3, 0.0f64..4_000.0, 0.0f64..900.0, any::<bool>(), 0.0f64..300.0), 1..120),
+        requests in proptest::collection::vec((0u8..3, 0.0f64..4_000.0, 0.0f64..900.0, any::<bool>(), 0.0f64..300.0), 1..120),
     ) {
         let mut throttle = Throttle::default();
         throttle.set_stage(0.0, TENANT, 1, 2, 0.0);
-        throttle.set_schedules(|_| Some(curve(&[(9.0, 0.1, 0.0, 1.0), (9.0, 0.9, 0.4, 0.4)])));
+        throttle.set_schedules(|_| Some(schedule(&[(9.0, 0.1, 0.0, 1.0), (9.0, 0.9, 0.4, 0.4)])));
         throttle.set_shares(&BTreeMap::from([(TENANT.to_string(), share)]));
         let mut now = 0.0;
-        for (rank, left_ms, expected_ms, again, gap) in calls {
+        for (rank, remaining_ms, expected_ms, is_retry, gap) in requests {
             now += gap;
             let rank = RANKS[usize::from(rank)];
-            match throttle.admit(now, TENANT, &Arrival { rank, remaining_ms: left_ms, expected_ms, is_retry: again }) {
+            match throttle.admit(now, TENANT, &Arrival { rank, remaining_ms, expected_ms, is_retry }) {
                 Verdict::Pass => {}
                 Verdict::Delay { until } => {
-                    prop_assert!(rank != Rank::Booking && until > now && until + expected_ms <= now + left_ms);
+                    prop_assert!(rank != Rank::Booking && until > now && until + expected_ms <= now + remaining_ms);
                 }
                 Verdict::RetryLater { retry_after_ms } => prop_assert!((20.0..=30_000.0).contains(&retry_after_ms)),
             }
