--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,7 +1,7 @@
 //! What the disk has for sure, what it was told to write, and what it has to be told again after a failure.
 
 use crate::log::Log;
-use crate::persistent::{Hard, Write};
+use crate::persistent::{HardState, Write};
 use nickeljunction_messages::Member;
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, Hash)]
 struct Held {
     me: bool,
-    hard: Hard,
+    hard: HardState,
     /// Index of its newest snapshot.
     snapshot: Option<u64>,
     /// Up to here its log is that in memory.
@@ -43,7 +43,7 @@
 
 impl Disk {
     /// As it was at the start, `new` or with what `log` was read from.
-    pub(crate) fn new(new: bool, hard: Hard, log: &Log) -> Disk {
+    pub(crate) fn new(new: bool, hard: HardState, log: &Log) -> Disk {
         let kept = !new;
         let safe = Held {
             me: kept,
@@ -60,7 +60,7 @@
     }
 
     /// This term and vote, and who casts it, would survive a loss of power.
-    pub(crate) fn keeps(&self, hard: Hard) -> bool {
+    pub(crate) fn keeps(&self, hard: HardState) -> bool {
         self.safe.me && self.safe.hard == hard && guard!(SickIsSilent, self.sick.is_none(), true)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// What is to be written now; at `now` a failed write may be due again.
-    pub(crate) fn write(&mut self, now: u64, me: &Member, hard: Hard, log: &Log) -> Option<Write> {
+    pub(crate) fn write(&mut self, now: u64, me: &Member, hard: HardState, log: &Log) -> Option<Write> {
         // While the disk is in trouble one write at a time tries it, so that nothing piles up.
         if self.sick.is_some_and(|retry_at| now < retry_at || !self.underway.is_empty()) {
             return None;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -2,7 +2,7 @@
 
 use crate::leader::LeaderState;
 use crate::messages::Msg;
-use crate::persistent::Hard;
+use crate::persistent::HardState;
 use crate::state::{Bound, Consensus, Owed, Role};
 use nickeljunction_messages::{Member, MemberId};
 
@@ -13,21 +13,21 @@
     /// Follows, in `term`; a leader's open proposals and reads are given up.
     pub(crate) fn follow(&mut self, term: u64) {
         if term > self.hard.term {
-            self.begin_term(Hard { term, vote: None });
+            self.begin_term(HardState { term, vote: None });
         }
         if let Role::Leader(lead) = std::mem::replace(&mut self.role, Role::Follower) {
             self.leader = None;
             self.heard_at = None;
             self.alone_since = self.now;
             let (lost, reads) = lead.give_up();
-            self.out.lost.extend(lost);
+            self.out.unresolved.extend(lost);
             self.out.reads.extend(reads.into_iter().map(|ticket| (ticket, false)));
             self.put_off_election();
         }
     }
 
     /// Begins a new term: what was known of the last one's leader, and owed to it, counts no more.
-    fn begin_term(&mut self, hard: Hard) {
+    fn begin_term(&mut self, hard: HardState) {
         self.hard = hard;
         self.leader = None;
         // A newer term that nobody leads yet doesn't end what an earlier life may have said.
@@ -168,7 +168,7 @@
         let Role::PreCandidate(said) = &self.role else { return };
         // One that is bound gives no vote, its own neither.
         if self.has_majority(said) && !self.has_leader() {
-            self.begin_term(Hard { term: self.hard.term + 1, vote: Some(self.me.id) });
+            self.begin_term(HardState { term: self.hard.term + 1, vote: Some(self.me.id) });
             self.role = Role::Candidate { yes: Vec::new(), since: self.now, sent: false };
             self.hurry = 0;
             self.put_off_election();
--- a/crates/consensus/src/join.rs
+++ b/crates/consensus/src/join.rs
@@ -81,8 +81,11 @@
         if self.now < self.next_seek() {
             return;
         }
-        let wait =
-            if self.is_member() { self.tuning.election_max_ms * LONELY_TIMES } else { self.tuning.join_ms };
+        let wait = if self.is_member() {
+            self.tuning.election_max_ms * LONELY_TIMES
+        } else {
+            self.tuning.join_interval_ms
+        };
         // Spread a little: machines that start together don't ask together.
         self.join_at = self.now + wait + self.rng.u64(0..=wait / 8);
         let mut hosts: Vec<String> = self.hosts.iter().cloned().collect();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,21 +2,21 @@
 //! one machine without I/O.
 //!
 //! [`Consensus`] takes the time of a steady clock (ms), messages and what the disk did; what is to be written, sent and
-//! applied waits in [`Consensus::take`]. After every call that changes something the embedding program takes the
+//! applied waits in [`Consensus::take_outputs`]. After every call that changes something the embedding program takes the
 //! [`Outputs`] and, in this order,
 //!
 //! 1. loads [`Outputs::restored_state`] into its state, then applies [`Outputs::committed`],
 //! 2. sends [`Outputs::send`] (what must wait for the disk isn't in there yet),
 //! 3. writes [`Outputs::writes`] one after the other and tells [`Consensus::written`] or [`Consensus::write_failed`],
-//! 4. answers [`Outputs::reads`], and fails what it proposed as [`Outputs::lost`] says.
+//! 4. answers [`Outputs::reads`], and fails what it proposed as [`Outputs::unresolved`] says.
 //!
 //! ```text
 //! Consensus::new(restored: Restored, tuning: Tuning, seed: u64, now: u64) -> Consensus
 //!   .step(now, Envelope)            .tick(now)             .next_wake() -> u64
-//!   .propose(now, String) -> Result<u64, NotLeader>        .read(now) -> Result<ReadTicket, NotLeader>
+//!   .propose(now, String) -> Result<u64, RequestError>        .read(now) -> Result<ReadTicket, RequestError>
 //!   .written(now, ticket)           .write_failed(now, ticket)
 //!   .snapshot(now, index, state)    .seek(hosts)           .resign(now)
-//!   .away(Vec<Away>)                .seen(now) -> Vec<Seen>
+//!   .away(Vec<Exclusion>)                .seen(now) -> Vec<PeerStatus>
 //!   .take() -> Outputs
 //!   .leader() .is_leader() .ready() .term() .members() .me() .commit() .quorum_age(now) .everywhere(now, index) .sick()
 //! ```
@@ -67,11 +67,13 @@
 mod tuning;
 
 pub use entry::{Body, Entry, Snapshot};
-pub use log::HELD_BACK;
-pub use members::{draw_id, first_id, Away, Seen, MEMBERS_MAX, MEMBERS_MIN};
+pub use log::ENTRIES_KEPT_BEFORE_SNAPSHOT;
+pub use members::{
+    bootstrap_member_id, member_id_from_random, Exclusion, PeerStatus, MEMBERS_MAX, MEMBERS_MIN,
+};
 pub use messages::{Envelope, Msg};
 pub use nickeljunction_messages::{Member, MemberId};
-pub use outputs::{NotLeader, Outputs, ReadTicket};
-pub use persistent::{Hard, Restored, Write};
+pub use outputs::{Outputs, ReadTicket, RequestError};
+pub use persistent::{HardState, Restored, Write};
 pub use state::Consensus;
 pub use tuning::Tuning;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// So many entries before a snapshot stay in memory at least, for members that lag a little.
-pub const HELD_BACK: u64 = 64;
+pub const ENTRIES_KEPT_BEFORE_SNAPSHOT: u64 = 64;
 /// Entries that a snapshot covers stay for laggards up to so many bytes.
 const HELD_BYTES: usize = 256 * 1024;
 
@@ -204,7 +204,7 @@
         let mut base = index;
         while base > self.base {
             held += self.get(base).map_or(0, Entry::size);
-            let few = index - base < guard!(HeldBack, HELD_BACK, 0);
+            let few = index - base < guard!(HeldBack, ENTRIES_KEPT_BEFORE_SNAPSHOT, 0);
             // A laggard is better taught by entries as long as they are less than the snapshot.
             if held > HELD_BYTES || !few && held > whole {
                 break;
--- a/crates/consensus/src/machine.rs
+++ b/crates/consensus/src/machine.rs
@@ -3,7 +3,7 @@
 use crate::entry::{Body, Entry};
 use crate::leader::PendingRead;
 use crate::messages::{Envelope, Msg};
-use crate::outputs::{NotLeader, Outputs, ReadTicket};
+use crate::outputs::{Outputs, ReadTicket, RequestError};
 use crate::state::{Consensus, Owed, Role};
 use nickeljunction_messages::Member;
 
@@ -45,23 +45,23 @@
     }
 
     /// Proposes an entry and returns its index. It is committed when it comes out of [`Outputs::committed`] with the
-    /// leader's term of now, or lost when [`Outputs::lost`] names it.
+    /// leader's term of now, or lost when [`Outputs::unresolved`] names it.
     ///
     /// # Errors
     /// Where this member doesn't lead, isn't [`Consensus::ready`], or too much is waiting.
-    pub fn propose(&mut self, now: u64, data: String) -> Result<u64, NotLeader> {
+    pub fn propose(&mut self, now: u64, data: String) -> Result<u64, RequestError> {
         self.pass(now);
         let ready = self.ready();
         let term = self.hard.term;
         let waiting = (self.log.last() - self.commit) as usize;
         let Role::Leader(lead) = &mut self.role else {
-            return Err(NotLeader::Elsewhere(self.leader.clone()));
+            return Err(RequestError::NotLeader(self.leader.clone()));
         };
         if !ready {
-            return Err(NotLeader::NotReady(term));
+            return Err(RequestError::NotReady(term));
         }
         if waiting >= WAITING_MAX {
-            return Err(NotLeader::Busy(waiting));
+            return Err(RequestError::Busy(waiting));
         }
         let index = self.log.last() + 1;
         lead.proposed(index);
@@ -74,11 +74,11 @@
     ///
     /// # Errors
     /// Where this member doesn't lead. Before it is [`Consensus::ready`] the read waits.
-    pub fn read(&mut self, now: u64) -> Result<ReadTicket, NotLeader> {
+    pub fn read(&mut self, now: u64) -> Result<ReadTicket, RequestError> {
         self.pass(now);
         let commit = self.commit;
         let Role::Leader(lead) = &mut self.role else {
-            return Err(NotLeader::Elsewhere(self.leader.clone()));
+            return Err(RequestError::NotLeader(self.leader.clone()));
         };
         let ticket = self.next_read;
         self.next_read += 1;
@@ -110,11 +110,11 @@
     }
 
     /// The write `ticket` failed, or may have; so are all after it taken to have. A leader steps down, and this member
-    /// neither votes nor vouches for entries until a later write has succeeded; [`Consensus::take`] gives one after
-    /// [`Tuning::retry_ms`] that covers all that is missing.
+    /// neither votes nor vouches for entries until a later write has succeeded; [`Consensus::take_outputs`] gives one after
+    /// [`Tuning::write_retry_ms`] that covers all that is missing.
     pub fn write_failed(&mut self, now: u64, ticket: u64) {
         self.pass(now);
-        if self.disk.failed(ticket, self.now + self.tuning.retry_ms) {
+        if self.disk.failed(ticket, self.now + self.tuning.write_retry_ms) {
             self.hand_over();
             if !matches!(self.role, Role::Follower) {
                 self.follow(self.hard.term);
@@ -133,7 +133,7 @@
 
     /// Hosts (IP addresses, as in [`Member::host`]) where members may be: used while this machine isn't a member, or has
     /// heard of no leader for long.
-    pub fn seek(&mut self, hosts: &[String]) {
+    pub fn add_seed_hosts(&mut self, hosts: &[String]) {
         for host in hosts {
             self.learn_host(host);
         }
@@ -141,7 +141,7 @@
     }
 
     /// For a program that is about to end: where another machine stands by, it is to come in the place of this one, which
-    /// goes on until [`Consensus::may_end`], or until it has waited enough; then it resigns.
+    /// goes on until [`Consensus::may_stop`], or until it has waited enough; then it resigns.
     pub fn leave(&mut self, now: u64) {
         self.pass(now);
         self.leaves = true;
@@ -154,14 +154,14 @@
 
     /// Tells the leader that this one is about to end; again, as it may be another one by now.
     fn send_leaving(&mut self) {
-        self.leave_at = self.now + self.tuning.join_ms;
+        self.leave_at = self.now + self.tuning.join_interval_ms;
         if let Some(leader) = self.leader.clone().filter(|leader| leader.id != self.me.id) {
             self.send(&leader, Msg::Resign);
         }
     }
 
     /// After [`Consensus::leave`]: its place is taken, or nobody stands by to take it.
-    pub fn may_end(&self) -> bool {
+    pub fn may_stop(&self) -> bool {
         self.may_end
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// What is to be done now. To be called after every call that takes `now`; see the crate's page for the order.
-    pub fn take(&mut self) -> Outputs {
+    pub fn take_outputs(&mut self) -> Outputs {
         // First what waited for the disk: it may make a leader, whose first entry is to be written.
         self.send_owed();
         if let Some(write) = self.disk.write(self.now, &self.me, self.hard, &self.log) {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -2,7 +2,7 @@
 //! change at a time.
 
 use crate::entry::Body;
-use crate::members::{Away, Seen, MEMBERS_MAX, MEMBERS_MIN};
+use crate::members::{Exclusion, PeerStatus, MEMBERS_MAX, MEMBERS_MIN};
 use crate::messages::Msg;
 use crate::peer::Peer;
 use crate::state::{Consensus, Role};
@@ -12,36 +12,36 @@
 const LEARNER_TIMES: u64 = 4;
 /// A learner that misses no more entries than this has caught up.
 const CAUGHT_UP: u64 = 64;
-/// A time after which a silent member is removed that is too long, for the tests: the guard [`crate::Tuning::gone_ms`] out.
+/// A time after which a silent member is removed that is too long, for the tests: the guard [`crate::Tuning::removal_timeout_ms`] out.
 #[cfg(feature = "model")]
 const LATE_MS: u64 = 6_000;
 
 impl Consensus {
-    /// Operators' word on which host is to be a member, above [`crate::Tuning::most`] if need be. As with
-    /// [`Consensus::away`].
-    pub fn called(&mut self, host: Option<String>) {
+    /// Operators' word on which host is to be a member, above [`crate::Tuning::max_members`] if need be. As with
+    /// [`Consensus::set_exclusions`].
+    pub fn set_requested_host(&mut self, host: Option<String>) {
         self.called = host;
     }
 
     /// Operators' word on who is not to be a member, in the place of what was told before: a member is removed once `after`
     /// is one and a majority of the rest answers, a machine that asks is not taken in. To be told from the log, the same at
     /// every member; it is carried out by the one that leads.
-    pub fn away(&mut self, away: Vec<Away>) {
+    pub fn set_exclusions(&mut self, away: Vec<Exclusion>) {
         self.away = away;
     }
 
     /// The others as their leader sees them, members first, then those that are taught; nobody where this member doesn't
     /// lead.
-    pub fn seen(&self, now: u64) -> Vec<Seen> {
+    pub fn peer_statuses(&self, now: u64) -> Vec<PeerStatus> {
         let Role::Leader(lead) = &self.role else { return Vec::new() };
-        let seen = |peer: &Peer| Seen {
+        let seen = |peer: &Peer| PeerStatus {
             member: peer.member.clone(),
             learner: peer.learner,
-            kept: peer.matched(),
+            match_index: peer.matched(),
             silent_ms: now.saturating_sub(peer.heard_at()),
             reachable: self.answers(peer, now),
         };
-        let mut all: Vec<Seen> = lead.peers.iter().map(seen).collect();
+        let mut all: Vec<PeerStatus> = lead.peers.iter().map(seen).collect();
         all.sort_by_key(|seen| seen.learner);
         all
     }
@@ -59,7 +59,7 @@
 
     /// Who was about to end and asks for something, or still answers a while later, is there after all.
     pub(crate) fn note_ending(&mut self, from: MemberId, msg: &Msg) {
-        let (now, gone_ms) = (self.now, self.tuning.gone_ms);
+        let (now, gone_ms) = (self.now, self.tuning.removal_timeout_ms);
         let answers =
             matches!(msg, Msg::AppendReply { .. } | Msg::PreVoteReply { .. } | Msg::VoteReply { .. });
         self.ending.retain(|(member, at)| member.id != from || (answers && now < at + gone_ms));
@@ -97,7 +97,7 @@
         // It led its own removal to the end, with the votes of the others alone: now one of them leads.
         if !self.is_member() {
             self.hand_over();
-            self.join_at = self.now + self.tuning.join_ms;
+            self.join_at = self.now + self.tuning.join_interval_ms;
             self.may_end = true;
             return self.follow(self.hard.term);
         }
@@ -161,7 +161,7 @@
         if let Some(gone) = self.gone() {
             return self.replacement(gone, member);
         }
-        let room = if self.is_called(&member.host) { MEMBERS_MAX } else { self.tuning.most };
+        let room = if self.is_called(&member.host) { MEMBERS_MAX } else { self.tuning.max_members };
         if members.len() >= guard!(StandsBy, room.min(MEMBERS_MAX), MEMBERS_MAX) {
             return None;
         }
@@ -185,7 +185,7 @@
 
     /// The member that was silent for longest of those that are gone, or said that they end.
     fn gone(&self) -> Option<&Member> {
-        let gone_ms = guard!(GoneSoon, self.tuning.gone_ms, LATE_MS);
+        let gone_ms = guard!(GoneSoon, self.tuning.removal_timeout_ms, LATE_MS);
         let ends = |id| guard!(EndTold, self.ending.iter().any(|(ending, _)| ending.id == id), false);
         let Role::Leader(lead) = &self.role else { return None };
         let is_gone = |member: &&Member| self.silent(member, gone_ms) || ends(member.id);
@@ -202,7 +202,7 @@
 
     /// The members without one that is gone, where enough are left.
     fn without_gone(&self) -> Option<Vec<Member>> {
-        let least = guard!(ReplacedOnly, self.tuning.least.max(MEMBERS_MIN), MEMBERS_MIN);
+        let least = guard!(ReplacedOnly, self.tuning.min_members.max(MEMBERS_MIN), MEMBERS_MIN);
         if self.log.members().len() <= least {
             return None;
         }
@@ -219,7 +219,7 @@
     /// This one may end as it is a member: nobody could take its place, no change is due, and those that are left decide.
     pub(crate) fn may_end_as_member(&self, member: &Member) -> bool {
         let members = self.log.members();
-        let few = members.len() <= self.tuning.least.max(MEMBERS_MIN);
+        let few = members.len() <= self.tuning.min_members.max(MEMBERS_MIN);
         let left = members.iter().filter(|other| other.id != member.id && self.is_here(other)).count();
         let settled = self.ready() && self.log.members_since() <= self.commit && !self.log.is_joint();
         let decides = left > members.len() / 2 || members.len() < MEMBERS_MIN;
@@ -234,7 +234,7 @@
     /// Operators want a member there: one more, or in the place of one that is still there.
     fn is_called(&self, host: &str) -> bool {
         let is_there = |host: &String| self.log.members().iter().any(|member| member.host == *host);
-        let follows = |away: &Away| away.after.as_deref() == Some(host) && is_there(&away.host);
+        let follows = |away: &Exclusion| away.after.as_deref() == Some(host) && is_there(&away.host);
         self.called.as_deref() == Some(host) || self.away.iter().any(follows)
     }
 
--- a/crates/consensus/src/outputs.rs
+++ b/crates/consensus/src/outputs.rs
@@ -23,15 +23,15 @@
     /// Reads that are settled: true: the state with `committed` applied may be answered from; false: ask elsewhere.
     pub reads: Vec<(ReadTicket, bool)>,
     /// Indexes proposed here whose fate is open: this member stopped leading before they were committed.
-    pub lost: Vec<u64>,
+    pub unresolved: Vec<u64>,
 }
 
 quick_error! {
     /// Why a proposal or a read is not taken.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum NotLeader {
+    pub enum RequestError {
         /// Another member leads, or none is known to.
-        Elsewhere(leader: Option<Member>) {
+        NotLeader(leader: Option<Member>) {
             display("not the leader; known leader: {}", leader.as_ref().map_or("none", |member| member.host.as_str()))
         }
         /// It leads and has not yet committed an entry of its own term: ask again shortly.
--- a/crates/consensus/src/persistent.rs
+++ b/crates/consensus/src/persistent.rs
@@ -6,7 +6,7 @@
 
 /// What a member must never forget: its term, and whom it voted for in it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The newest term that it knows of.
     #[serde(rename = "t")]
     pub term: u64,
@@ -27,7 +27,7 @@
     /// Who writes, in the first write on a new disk.
     pub me: Option<Member>,
     /// Term and vote, where they changed.
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// Entries from this index on are to be deleted.
     pub truncate_from: Option<u64>,
     /// Takes the place of an older snapshot and of all entries up to its index, which are to be deleted.
@@ -42,9 +42,9 @@
     /// Who this is.
     pub me: Member,
     /// The disk doesn't know `me` yet.
-    pub new: bool,
+    pub is_new: bool,
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries after it, without gaps.
@@ -53,14 +53,20 @@
 
 impl Restored {
     /// A member of the first start of the whole core, on an empty disk; every machine names the same `members`, each
-    /// with the number of [`first_id`].
-    pub fn first(me: Member, members: Vec<Member>) -> Restored {
+    /// with the number of [`bootstrap_member_id`].
+    pub fn bootstrap(me: Member, members: Vec<Member>) -> Restored {
         let snapshot = Snapshot { index: 0, term: 0, members, state: String::new() };
-        Restored { me, new: true, hard: Hard::default(), snapshot: Some(snapshot), entries: Vec::new() }
+        Restored {
+            me,
+            is_new: true,
+            hard: HardState::default(),
+            snapshot: Some(snapshot),
+            entries: Vec::new(),
+        }
     }
 
-    /// A new or wiped machine, with a number drawn anew ([`draw_id`]): it has to be taken in.
-    pub fn stranger(me: Member) -> Restored {
-        Restored { me, new: true, hard: Hard::default(), snapshot: None, entries: Vec::new() }
+    /// A new or wiped machine, with a number drawn anew ([`member_id_from_random`]): it has to be taken in.
+    pub fn joining(me: Member) -> Restored {
+        Restored { me, is_new: true, hard: HardState::default(), snapshot: None, entries: Vec::new() }
     }
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -3,10 +3,10 @@
 use crate::disk::Disk;
 use crate::leader::LeaderState;
 use crate::log::Log;
-use crate::members::Away;
+use crate::members::Exclusion;
 use crate::messages::{Envelope, Msg};
 use crate::outputs::{Outputs, ReadTicket};
-use crate::persistent::{Hard, Restored};
+use crate::persistent::{HardState, Restored};
 use crate::tuning::Tuning;
 use nickeljunction_messages::{Member, MemberId};
 use std::collections::VecDeque;
@@ -55,7 +55,7 @@
     pub(crate) tuning: Tuning,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: u64,
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     pub(crate) log: Log,
     pub(crate) disk: Disk,
     pub(crate) commit: u64,
@@ -83,7 +83,7 @@
     pub(crate) hosts: VecDeque<String>,
     pub(crate) join_at: u64,
     /// Who is not to be a member, by operators' word.
-    pub(crate) away: Vec<Away>,
+    pub(crate) away: Vec<Exclusion>,
     /// Who is to be one, by operators' word.
     pub(crate) called: Option<String>,
     /// Members that said that they are about to end, and when; this one among them where it leads.
@@ -105,9 +105,9 @@
     /// `now` is the time of a steady clock, ms, as in all calls.
     pub fn new(restored: Restored, tuning: Tuning, seed: u64, now: u64) -> Consensus {
         let log = Log::new(restored.snapshot, restored.entries);
-        let disk = Disk::new(restored.new, restored.hard, &log);
+        let disk = Disk::new(restored.is_new, restored.hard, &log);
         let snapshot = log.snapshot_index();
-        let bound = guard!(RestartWaits, (!restored.new).then(Bound::default), None);
+        let bound = guard!(RestartWaits, (!restored.is_new).then(Bound::default), None);
         let heard_at = bound.is_some().then_some(now);
         let mut consensus = Consensus {
             me: restored.me,
@@ -195,14 +195,14 @@
 
     /// This member leads, the entry at `index` is committed, and every member that answered within the shortest election
     /// time has it on its disk: more than a majority needs, so that even a majority's loss may be survived.
-    pub fn everywhere(&self, now: u64, index: u64) -> bool {
+    pub fn replicated_to_all_reachable(&self, now: u64, index: u64) -> bool {
         let Role::Leader(lead) = &self.role else { return false };
         let since = now.saturating_sub(self.tuning.election_min_ms);
         self.commit >= index && self.disk.stable() >= index && lead.reachable_keep(since, index)
     }
 
     /// The disk failed, and no write has succeeded since.
-    pub fn sick(&self) -> bool {
+    pub fn disk_failed(&self) -> bool {
         self.disk.sick()
     }
 
--- a/crates/consensus/src/tuning.rs
+++ b/crates/consensus/src/tuning.rs
@@ -14,17 +14,17 @@
     pub election_max_ms: u64,
     /// Nobody is removed for silence alone where no more members than this are left: a smaller list keeps what is
     /// acknowledged on fewer disks.
-    pub least: usize,
+    pub min_members: usize,
     /// Machines that ask are taken in up to this many members; more of them stand by as learners, until a member is gone
     /// or operators call one in.
-    pub most: usize,
+    pub max_members: usize,
     /// A member that was silent for so long is gone: it makes room for one that stands by. Shorter than the time after
     /// which the next loss has to be borne.
-    pub gone_ms: u64,
+    pub removal_timeout_ms: u64,
     /// A machine that isn't a member asks so often to be taken in.
-    pub join_ms: u64,
+    pub join_interval_ms: u64,
     /// After a failed write it is tried again so much later.
-    pub retry_ms: u64,
+    pub write_retry_ms: u64,
 }
 
 impl Default for Tuning {
@@ -33,19 +33,19 @@
             heartbeat_ms: 100,
             election_min_ms: 350,
             election_max_ms: 650,
-            least: MEMBERS_MIN,
-            most: MEMBERS_MAX,
-            gone_ms: 2_000,
-            join_ms: 300,
-            retry_ms: 200,
+            min_members: MEMBERS_MIN,
+            max_members: MEMBERS_MAX,
+            removal_timeout_ms: 2_000,
+            join_interval_ms: 300,
+            write_retry_ms: 200,
         }
     }
 }
 
 impl Tuning {
     /// For a core that is to bear the loss of so many machines at once: twice as many members, and one.
-    pub fn bearing(losses: usize) -> Tuning {
+    pub fn tolerating(losses: usize) -> Tuning {
         let members = losses.saturating_mul(2).saturating_add(1).clamp(MEMBERS_MIN, MEMBERS_MAX);
-        Tuning { least: members, most: members, ..Tuning::default() }
+        Tuning { min_members: members, max_members: members, ..Tuning::default() }
     }
 }
--- a/crates/consensus/tests/cases.rs
+++ b/crates/consensus/tests/cases.rs
@@ -246,7 +246,7 @@
         cluster.machines[full].disk.fail(true);
         cluster.propose(full);
         cluster.run(800);
-        assert!(cluster.book(full).sick() && !cluster.book(full).is_leader());
+        assert!(cluster.book(full).disk_failed() && !cluster.book(full).is_leader());
         cluster.commit(1_000);
         // While it can't keep anything it vouches for nothing: with it alone nothing is committed.
         let new = cluster.settle(500);
@@ -257,7 +257,7 @@
         assert!(value.is_none_or(|value| !cluster.acked.contains(&value)));
         cluster.machines[full].disk.fail(false);
         cluster.commit(3_000);
-        assert!(!cluster.book(full).sick());
+        assert!(!cluster.book(full).disk_failed());
         cluster.start(third);
         cluster.run(1_500);
         check_all(cluster);
@@ -276,7 +276,7 @@
         cluster.start(lagging);
         cluster.run(1_500);
         check_all(cluster);
-        assert!(cluster.book(leader).everywhere(cluster.now, cluster.book(leader).commit()));
+        assert!(cluster.book(leader).replicated_to_all_reachable(cluster.now, cluster.book(leader).commit()));
     });
 }
 
@@ -296,7 +296,7 @@
         cluster.cut(leader, lagging, false);
         cluster.run(5_000);
         check_all(cluster);
-        assert!(cluster.book(leader).everywhere(cluster.now, cluster.book(leader).commit()));
+        assert!(cluster.book(leader).replicated_to_all_reachable(cluster.now, cluster.book(leader).commit()));
     });
 }
 
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -4,7 +4,8 @@
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use nickeljunction_consensus::{
-    draw_id, first_id, Away, Body, Consensus, Envelope, Member, MemberId, ReadTicket, Restored, Tuning, Write,
+    bootstrap_member_id, member_id_from_random, Body, Consensus, Envelope, Exclusion, Member, MemberId,
+    ReadTicket, Restored, Tuning, Write,
 };
 use nickeljunction_storage::{LogStore, MemoryLogStore};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -105,10 +106,10 @@
             next_value: 0,
         };
         let list: Vec<Member> =
-            hosts.iter().map(|host| Member { id: first_id(host), host: host.clone() }).collect();
+            hosts.iter().map(|host| Member { id: bootstrap_member_id(host), host: host.clone() }).collect();
         for member in &list {
             let number = cluster.add();
-            cluster.boot(number, Restored::first(member.clone(), list.clone()));
+            cluster.boot(number, Restored::bootstrap(member.clone(), list.clone()));
         }
         cluster
     }
@@ -141,7 +142,7 @@
         (machine.frozen, machine.writing, machine.applied) = (false, false, 0);
         machine.state.clear();
         let mut book = Consensus::new(restored, tuning, seed, now);
-        book.seek(&seeds);
+        book.add_seed_hosts(&seeds);
         machine.book = Some(book);
         self.take(number);
     }
@@ -151,8 +152,8 @@
         let restored = match self.machines[number].disk.load().unwrap() {
             Some(kept) => kept.into(),
             None => {
-                let id = draw_id(self.rng.u64(..));
-                Restored::stranger(Member { id, host: self.machines[number].host.clone() })
+                let id = member_id_from_random(self.rng.u64(..));
+                Restored::joining(Member { id, host: self.machines[number].host.clone() })
             }
         };
         self.boot(number, restored);
@@ -277,7 +278,7 @@
     fn take(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         let Some(book) = &mut machine.book else { return };
-        let out = book.take();
+        let out = book.take_outputs();
         if book.is_leader() {
             let before = self.leaders.insert(book.term(), book.me().id);
             assert!(before.is_none_or(|id| id == book.me().id), "two leaders in term {}", book.term());
@@ -304,7 +305,7 @@
                 machine.state.push((entry.index, value));
             }
         }
-        for index in out.lost {
+        for index in out.unresolved {
             assert!(machine.proposals.remove(&index).is_some(), "a loss of what wasn't proposed");
         }
         for (ticket, ready) in out.reads {
@@ -322,8 +323,8 @@
         // The last word on the log says who is to stay away, as operators' orders do.
         if news {
             let word = machine.state.iter().rev().find_map(|(_, value)| value.strip_prefix(AWAY));
-            let away: Vec<Away> = word.map_or_else(Vec::new, |word| serde_json::from_str(word).unwrap());
-            book.away(away);
+            let away: Vec<Exclusion> = word.map_or_else(Vec::new, |word| serde_json::from_str(word).unwrap());
+            book.set_exclusions(away);
         }
         if machine.applied % 40 == 39 {
             let state = serde_json::to_string(&machine.state).unwrap();
@@ -533,8 +534,10 @@
 
     fn away_word(&self, away: &[(usize, Option<usize>)]) -> String {
         let host = |number: usize| self.machines[number].host.clone();
-        let away: Vec<Away> =
-            away.iter().map(|(gone, after)| Away { host: host(*gone), after: after.map(host) }).collect();
+        let away: Vec<Exclusion> = away
+            .iter()
+            .map(|(gone, after)| Exclusion { host: host(*gone), after: after.map(host) })
+            .collect();
         format!("{AWAY}{}", serde_json::to_string(&away).unwrap())
     }
 
@@ -609,7 +612,7 @@
                 "{me:?} term {} leads {} sick {} members {ids:?}",
                 book.term(),
                 book.is_leader(),
-                book.sick()
+                book.disk_failed()
             )
         };
         let views: Vec<String> =
--- a/crates/consensus/tests/orders.rs
+++ b/crates/consensus/tests/orders.rs
@@ -159,7 +159,7 @@
 #[test]
 fn a_fourth_stands_by_until_it_is_called_or_a_member_is_gone() {
     for seed in 0..SEEDS {
-        let mut cluster = Cluster::tuned(3, seed, Tuning::bearing(1));
+        let mut cluster = Cluster::tuned(3, seed, Tuning::tolerating(1));
         let leader = cluster.settle(3_000);
         cluster.commit(1_000);
         let new = join(&mut cluster);
@@ -176,14 +176,14 @@
         // Operators call it.
         let host = cluster.machines[gone].host.clone();
         for machine in &mut cluster.machines {
-            machine.book.as_mut().expect("all run").called(Some(host.clone()));
+            machine.book.as_mut().expect("all run").set_requested_host(Some(host.clone()));
         }
         cluster.members_within(1_000, &[0, 1, 2, new]);
         // One that says that it ends is not waited for.
         let ends = cluster.settle(1_000);
         cluster.leave(ends);
         cluster.run(30);
-        assert!(cluster.book(ends).may_end());
+        assert!(cluster.book(ends).may_stop());
         cluster.resign(ends);
         cluster.kill(ends);
         let rest: Vec<usize> = (0..4).filter(|number| *number != ends).collect();
--- a/crates/consensus/tests/second_loss.rs
+++ b/crates/consensus/tests/second_loss.rs
@@ -106,7 +106,7 @@
 impl Scene {
     fn begin(&self) -> Run<'_> {
         let (losses, _) = borne(self.members);
-        let mut cluster = Cluster::tuned(self.members, 7, Tuning::bearing(losses));
+        let mut cluster = Cluster::tuned(self.members, 7, Tuning::tolerating(losses));
         cluster.wire = false;
         let leader = cluster.settle(3_000);
         for _ in 0..self.entries.max(1) {
@@ -191,7 +191,7 @@
         }
         if let Some((number, until)) = self.ends {
             let book = self.cluster.machines[number].book.as_ref();
-            if self.cluster.now >= until || book.is_none_or(Consensus::may_end) {
+            if self.cluster.now >= until || book.is_none_or(Consensus::may_stop) {
                 self.ends = None;
                 self.cluster.resign(number);
                 return self.cluster.kill(number);
--- a/crates/consensus/tests/small_world/disk.rs
+++ b/crates/consensus/tests/small_world/disk.rs
@@ -1,6 +1,6 @@
 //! A disk of what was synced, and what worlds share.
 
-use nickeljunction_consensus::{Entry, Hard, Member, Snapshot, Write};
+use nickeljunction_consensus::{Entry, HardState, Member, Snapshot, Write};
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Default, Hash)]
 pub struct Disk {
     pub me: Option<Member>,
-    pub hard: Hard,
+    pub hard: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
     pub ticket: u64,
--- a/crates/consensus/tests/small_world/mod.rs
+++ b/crates/consensus/tests/small_world/mod.rs
@@ -199,11 +199,11 @@
             heartbeat_ms: 1,
             election_min_ms,
             election_max_ms,
-            gone_ms: self.gone,
-            least: 3,
-            most: 7,
-            join_ms: 0,
-            retry_ms: 0,
+            removal_timeout_ms: self.gone,
+            min_members: 3,
+            max_members: 7,
+            join_interval_ms: 0,
+            write_retry_ms: 0,
         }
     }
 
@@ -219,7 +219,7 @@
     fn book(&self, restored: Restored, now: u64) -> Consensus {
         let mut book = Consensus::new(restored, self.tuning(), 0, now);
         let hosts: Vec<String> = (0..self.members).map(|number| member(number).host).collect();
-        book.seek(&hosts);
+        book.add_seed_hosts(&hosts);
         if !self.timed() {
             book.set_clock(now);
         }
@@ -237,8 +237,8 @@
         let founders = self.founders();
         let now = if self.timed() { 10 } else { self.memory };
         let restored = |me: &Member| match founders.contains(me) {
-            true => Restored::first(me.clone(), founders.clone()),
-            false => Restored::stranger(me.clone()),
+            true => Restored::bootstrap(me.clone(), founders.clone()),
+            false => Restored::joining(me.clone()),
         };
         let machine = |me: &Member| Machine {
             book: Seal::new(self.book(restored(me), now)),
@@ -327,7 +327,7 @@
 
     fn settle(&self, world: &mut World, number: usize, book: &mut Consensus) {
         loop {
-            let mut out = book.take();
+            let mut out = book.take_outputs();
             if book.is_leader() {
                 match world.leaders.iter().find(|(term, _)| *term == book.term()) {
                     Some((_, id)) if *id != book.me().id => {
@@ -348,7 +348,7 @@
                 self.commit(world, number, book, entry);
             }
             let machine = &mut world.machines[number];
-            for index in out.lost {
+            for index in out.unresolved {
                 machine.proposals.retain(|(mine, _)| *mine != index);
             }
             for (ticket, ready) in out.reads {
@@ -475,7 +475,7 @@
         }
         self.on(world, number, |book, world| {
             book.tick(now);
-            let mut out = book.take();
+            let mut out = book.take_outputs();
             let (asks, rest) =
                 out.send.into_iter().partition(|(_, envelope)| matches!(envelope.msg, Msg::PreVote { .. }));
             out.send = rest;
@@ -487,7 +487,7 @@
                 let Some((machine, _)) = asked else { continue };
                 let mut asked = (*machine.book).clone();
                 asked.step(self.rest(world), ask);
-                let sends = asked.take().send.into_iter().map(|(_, envelope)| envelope);
+                let sends = asked.take_outputs().send.into_iter().map(|(_, envelope)| envelope);
                 answers.extend(sends.filter(|envelope| matches!(envelope.msg, Msg::PreVoteReply { .. })));
             }
             let yes = |envelope: &&Envelope| matches!(envelope.msg, Msg::PreVoteReply { yes: true, .. });
@@ -514,16 +514,16 @@
         let restored = match &disk.me {
             Some(me) => Restored {
                 me: me.clone(),
-                new: false,
+                is_new: false,
                 hard: disk.hard,
                 snapshot: disk.snapshot.clone(),
                 entries: disk.entries.clone(),
             },
-            None if !founders.contains(&me) => Restored::stranger(me),
-            None if self.old_number || !wiped => Restored::first(me, founders),
+            None if !founders.contains(&me) => Restored::joining(me),
+            None if self.old_number || !wiped => Restored::bootstrap(me, founders),
             None => {
                 me.id += 10;
-                Restored::stranger(me)
+                Restored::joining(me)
             }
         };
         machine.disk = Seal::new(disk);
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -149,7 +149,7 @@
     pub async fn leave(&self, most_ms: u64) {
         self.turn(|house, now| house.leave(now));
         let until = self.now() + most_ms;
-        while !self.house.borrow().book().may_end() && self.now() < until {
+        while !self.house.borrow().book().may_stop() && self.now() < until {
             self.wheel.sleep(LEAVE_LOOK_MS).await;
         }
     }
@@ -437,7 +437,7 @@
             "commit": book.commit(),
             "members": book.members().iter().map(|member| member.host.clone()).collect::<Vec<_>>(),
             "quorum_age_ms": book.quorum_age(self.now()),
-            "disk_sick": book.sick(),
+            "disk_sick": book.disk_failed(),
             "config_version": state.version(),
             "evacuated": state.evacuated(),
             "operations": crate::resources::operations::standing(&house, self.now()),
--- a/crates/controller/src/driver/metrics.rs
+++ b/crates/controller/src/driver/metrics.rs
@@ -113,9 +113,9 @@
             page.value(&[], age);
         }
         page.figure("controller_member_behind", gauge, "Entries that another machine's disk lacks.");
-        for seen in book.seen(now).iter().take(MOST_LABELLED) {
+        for seen in book.peer_statuses(now).iter().take(MOST_LABELLED) {
             let part = if seen.learner { "learner" } else { "member" };
-            let behind = book.commit().saturating_sub(seen.kept) as f64;
+            let behind = book.commit().saturating_sub(seen.match_index) as f64;
             page.value(&[("host", &seen.member.host), ("part", part)], behind);
         }
         page.one(
@@ -144,7 +144,7 @@
     }
 
     fn write_disk(&self, page: &mut Page) {
-        let sick = f64::from(u8::from(self.house.borrow().book().sick()));
+        let sick = f64::from(u8::from(self.house.borrow().book().disk_failed()));
         let seconds = |us: &Cell<u64>| us.get() as f64 / 1e6;
         page.one("controller_disk_sick", Kind::Gauge, "1 where the last write failed.", sick);
         page.one(
@@ -235,7 +235,7 @@
     use super::*;
     use crate::driver::Ports;
     use crate::peers::Peers;
-    use nickeljunction_consensus::{first_id, Restored, Tuning};
+    use nickeljunction_consensus::{bootstrap_member_id, Restored, Tuning};
     use nickeljunction_messages::Member;
     use nickeljunction_net::caller::Caller;
     use nickeljunction_net::clock::Clock;
@@ -255,7 +255,7 @@
 
     #[test]
     fn the_page_reads_as_the_format_wants_and_names_stay() {
-        let me = Member { id: first_id("127.0.0.1"), host: "127.0.0.1".into() };
+        let me = Member { id: bootstrap_member_id("127.0.0.1"), host: "127.0.0.1".into() };
         let place = Rc::new(Place {
             name: "core-1".into(),
             host: me.host.clone(),
@@ -263,7 +263,7 @@
             bounds: Bounds::default(),
             heartbeat_ms: 1_500,
         });
-        let restored = Restored::first(me.clone(), vec![me]);
+        let restored = Restored::bootstrap(me.clone(), vec![me]);
         let mut house = Replica::new(place.clone(), restored, Tuning::default(), 1, 0);
         for _ in 0..50 {
             house.tick(house.next_wake());
--- a/crates/controller/src/resources/inner.rs
+++ b/crates/controller/src/resources/inner.rs
@@ -157,7 +157,7 @@
     use crate::disk::Job;
     use crate::driver::Ports;
     use crate::peers::Peers;
-    use nickeljunction_consensus::{first_id, Hard, Restored, Snapshot, Tuning};
+    use nickeljunction_consensus::{bootstrap_member_id, HardState, Restored, Snapshot, Tuning};
     use nickeljunction_messages::{Caller, Member};
     use nickeljunction_net::caller::Caller as Calls;
     use nickeljunction_net::clock::Clock;
@@ -169,10 +169,15 @@
 
     /// A core of one that comes back with its disk: it leads once its vote and first entry are written.
     pub(crate) fn alone() -> (Rc<Driver>, mpsc::UnboundedReceiver<Job>) {
-        let me = Member { id: first_id("127.0.0.1"), host: "127.0.0.1".into() };
+        let me = Member { id: bootstrap_member_id("127.0.0.1"), host: "127.0.0.1".into() };
         let first = Snapshot { index: 0, term: 0, members: vec![me.clone()], state: String::new() };
-        let restored =
-            Restored { me, new: false, hard: Hard::default(), snapshot: Some(first), entries: Vec::new() };
+        let restored = Restored {
+            me,
+            is_new: false,
+            hard: HardState::default(),
+            snapshot: Some(first),
+            entries: Vec::new(),
+        };
         let place = Rc::new(Place {
             name: "core-1".into(),
             host: "127.0.0.1".into(),
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::resources::{self, config, core, evacuations, inner, instances, operations, status, trials};
 use crate::store::CONSENSUS;
 use crate::{disk, follow, hint};
-use nickeljunction_consensus::{draw_id, first_id, Restored, Tuning};
+use nickeljunction_consensus::{bootstrap_member_id, member_id_from_random, Restored, Tuning};
 use nickeljunction_messages::{path, Member};
 use nickeljunction_net::caller::Caller;
 use nickeljunction_net::clock::Clock;
@@ -88,18 +88,18 @@
     let seeds: Vec<String> = addresses.seeds.iter().map(|seed| seed.ip().to_string()).collect();
     // Whatever the settings say: a folder that lost its store isn't a first start's.
     if settings.initial_start && !was_lost {
-        let member = |host: &String| Member { id: first_id(host), host: host.clone() };
+        let member = |host: &String| Member { id: bootstrap_member_id(host), host: host.clone() };
         let me = member(&host);
         log::info!("event=first_start member={}", me.id);
         if seeds.contains(&host) {
             let members = seeds.iter().map(member).collect();
-            return Ok((hold, Restored::first(me, members)));
+            return Ok((hold, Restored::bootstrap(me, members)));
         }
-        return Ok((hold, Restored::stranger(me)));
+        return Ok((hold, Restored::joining(me)));
     }
-    let me = Member { id: draw_id(dice.u64(..)), host };
+    let me = Member { id: member_id_from_random(dice.u64(..)), host };
     log::info!("event=empty_disk member={}", me.id);
-    Ok((hold, Restored::stranger(me)))
+    Ok((hold, Restored::joining(me)))
 }
 
 /// Opens the disk, and waits for one that can't be opened for the moment: to start without it would be to forget what was
@@ -153,7 +153,7 @@
     let caller = Caller::new(wheel.clone());
     let peers = Peers::new(Caller::within(wheel.clone(), PEER_CONNECT_MS), ports.inner);
     let now = wheel.now() as u64;
-    let tuning = Tuning::bearing(settings.fault_tolerance.machine_failures as usize);
+    let tuning = Tuning::tolerating(settings.fault_tolerance.machine_failures as usize);
     let house = Replica::new(place.clone(), restored, tuning, dice.u64(..), now);
     let driver = Driver::new(place, ports, wheel.clone(), house, writes, peers);
     if let Some(copy) = hint::load(&addresses.data) {
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,7 +1,7 @@
 //! `controller store`: the disk of a stopped member, for people. `docs/operators/store.md` shows each order.
 
 use crate::cli::StoreCmd;
-use nickeljunction_consensus::{draw_id, Body, Hard, Member, Snapshot, Write};
+use nickeljunction_consensus::{member_id_from_random, Body, HardState, Member, Snapshot, Write};
 use nickeljunction_replica::state::{Entry, Outcome, ReplicatedState};
 use nickeljunction_storage::{FileLogStore, LogStore, StorageError, StoreReport};
 use quick_error::quick_error;
@@ -108,7 +108,7 @@
             done(format!("snapshot up to entry {index} of term {term}, config version {version}\n"))
         }
         StoreCmd::Restore(order) => {
-            let me = Member { id: draw_id(fastrand::u64(..)), host: order.host };
+            let me = Member { id: member_id_from_random(fastrand::u64(..)), host: order.host };
             done(restore(&order.file, &order.folder, me, order.replace)?)
         }
     }
@@ -314,7 +314,7 @@
     hold.save(&Write {
         ticket: 1,
         me: Some(me.clone()),
-        hard: Some(Hard { term, vote: None }),
+        hard: Some(HardState { term, vote: None }),
         snapshot: Some(Snapshot { index, term, members: vec![me.clone()], state: parcel.state.to_text() }),
         ..Write::default()
     })?;
@@ -353,7 +353,7 @@
         let write = Write {
             ticket: 1,
             me: Some(member(2, "10.0.0.2")),
-            hard: Some(Hard { term: 7, vote: Some(3) }),
+            hard: Some(HardState { term: 7, vote: Some(3) }),
             snapshot: Some(Snapshot { index: 10, term: 4, members, state: state.to_text() }),
             entries: vec![entry(11, data(&put(2, 4))), entry(12, data(&Entry::Evacuate("z".into())))],
             ..Write::default()
@@ -389,12 +389,12 @@
             Consensus::new(kept.into(), Tuning::default(), 1, 0),
             Consensus::new(lost, Tuning::default(), 2, 0),
         ];
-        books[1].seek(&[me.host]);
+        books[1].add_seed_hosts(&[me.host]);
         let mut states = [ReplicatedState::default(), ReplicatedState::default()];
         for now in 0..8_000 {
             for at in 0..2 {
                 books[at].tick(now);
-                let out = books[at].take();
+                let out = books[at].take_outputs();
                 if let Some(snapshot) = out.restored_state {
                     states[at] = ReplicatedState::from_text(&snapshot.state).expect("own text");
                 }
--- a/crates/replica/examples/change_cost.rs
+++ b/crates/replica/examples/change_cost.rs
@@ -71,7 +71,7 @@
             bounds: Bounds::usual(),
             heartbeat_ms: 1_000,
         };
-        let restored = Restored::first(me.clone(), vec![me]);
+        let restored = Restored::bootstrap(me.clone(), vec![me]);
         let replica = Replica::new(Rc::new(place), restored, Tuning::default(), 1, 1_000);
         let mut core = Core { now: 1_000, replica };
         while core.replica.leads().is_none() {
--- a/crates/replica/src/calls.rs
+++ b/crates/replica/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::machine::Replica;
 use crate::members::Wish;
 use crate::state::{Entry, Outcome};
-use nickeljunction_consensus::NotLeader;
+use nickeljunction_consensus::RequestError;
 use nickeljunction_messages::UnitsCall;
 use nickeljunction_operations::Batch;
 use nickeljunction_quota::Roll;
@@ -159,7 +159,7 @@
     pub(crate) fn propose(&mut self, now: u64, entry: &Entry, until: u64, proposed: Proposed) {
         let index = match serde_json::to_string(entry) {
             Ok(data) => self.book.propose(now, data),
-            Err(_) => Err(NotLeader::Elsewhere(None)),
+            Err(_) => Err(RequestError::NotLeader(None)),
         };
         match index {
             Ok(index) => {
@@ -167,7 +167,7 @@
                 self.waits.insert(index, (term, until, proposed));
             }
             Err(error) => {
-                if !matches!(error, NotLeader::Elsewhere(_)) {
+                if !matches!(error, RequestError::NotLeader(_)) {
                     self.out.events.push(Event::ProposalRefused { error: error.to_string() });
                 }
                 self.settled.push(Settled::Entry(proposed, None));
--- a/crates/replica/src/machine.rs
+++ b/crates/replica/src/machine.rs
@@ -170,11 +170,11 @@
 
     /// Other hosts where members may be found, for one that isn't a member.
     pub fn seek(&mut self, now: u64, hosts: &[String]) {
-        self.turn(now, |book| book.seek(hosts));
+        self.turn(now, |book| book.add_seed_hosts(hosts));
     }
 
     /// The process is about to end: another machine that stands by is to take its place, until
-    /// [`Consensus::may_end`].
+    /// [`Consensus::may_stop`].
     pub fn leave(&mut self, now: u64) {
         self.turn(now, |book| book.leave(now));
     }
@@ -193,7 +193,7 @@
     pub(crate) fn turn(&mut self, now: u64, act: impl FnOnce(&mut Consensus)) {
         act(&mut self.book);
         loop {
-            let outputs = self.book.take();
+            let outputs = self.book.take_outputs();
             if outputs != Outputs::default() {
                 self.carry_out(now, outputs);
                 continue;
@@ -261,8 +261,8 @@
         let (orders, order) = self.state.core();
         if self.away_from != orders {
             self.away_from = orders;
-            self.book.away(order.away.clone());
-            self.book.called(order.come.clone());
+            self.book.set_exclusions(order.away.clone());
+            self.book.set_requested_host(order.come.clone());
         }
         self.out.send.extend(outputs.send);
         self.out.writes.extend(outputs.writes);
@@ -272,7 +272,7 @@
             let settled = |one: Confirming| Settled::Read(one.reading, fine.then_some(one.answer_by));
             self.settled.extend(read.map(settled));
         }
-        for index in outputs.lost {
+        for index in outputs.unresolved {
             let wait = self.waits.remove(&index);
             self.settled.extend(wait.map(|(.., proposed)| Settled::Entry(proposed, None)));
         }
--- a/crates/replica/src/members.rs
+++ b/crates/replica/src/members.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::Replica;
 use crate::state::{CoreOrder, Entry};
-use nickeljunction_consensus::{Away, Seen, MEMBERS_MAX, MEMBERS_MIN};
+use nickeljunction_consensus::{Exclusion, PeerStatus, MEMBERS_MAX, MEMBERS_MIN};
 use quick_error::quick_error;
 use serde::Serialize;
 
@@ -131,7 +131,7 @@
                 return Err(Unfit::Full(hosts.len()));
             }
             next.away.retain(|away| away.host != *new);
-            next.away.push(Away { host: old.clone(), after: Some(new.clone()) });
+            next.away.push(Exclusion { host: old.clone(), after: Some(new.clone()) });
             next.come = Some(new.clone());
             remain(members, old, true)?;
         }
@@ -147,7 +147,7 @@
             }
             next.away.retain(|away| away.after.as_ref() != Some(host) || !is_member(&away.host));
             next.away.retain(|away| away.host != *host);
-            next.away.push(Away { host: host.clone(), after: None });
+            next.away.push(Exclusion { host: host.clone(), after: None });
             if is_member(host) {
                 remain(members, host, false)?;
             }
@@ -195,7 +195,7 @@
 impl Replica {
     /// The members by host, and whether they answer this one, which leads.
     fn hosts(&self, now: u64) -> Vec<(String, bool)> {
-        let seen = self.book.seen(now);
+        let seen = self.book.peer_statuses(now);
         let answers = |id| seen.iter().any(|seen| seen.member.id == id && seen.reachable);
         let me = self.book.me().id;
         let members = self.book.members().iter();
@@ -220,16 +220,16 @@
             silent_ms: 0,
             reachable: true,
         };
-        let other = |seen: Seen| MemberSeat {
+        let other = |seen: PeerStatus| MemberSeat {
             host: seen.member.host,
             id: seen.member.id,
             part: if seen.learner { "learner" } else { "member" },
-            kept: seen.kept,
+            kept: seen.match_index,
             silent_ms: seen.silent_ms,
             reachable: seen.reachable,
         };
         let mut machines = vec![own];
-        machines.extend(self.book.seen(now).into_iter().map(other));
+        machines.extend(self.book.peer_statuses(now).into_iter().map(other));
         let (orders, order) = self.state.core();
         let awaited =
             order.come.as_ref().filter(|come| !machines.iter().any(|known| known.host == **come)).cloned();
@@ -291,7 +291,7 @@
         let done = all("b c d e", "");
         assert_eq!(order(&replace("a", "e"), &swap, &done), Ok(None));
         let next = order(&go("e"), &swap, &done).expect("fit").expect("new");
-        assert_eq!(next.away, ["a", "e"].map(|host| Away { host: host.into(), after: None }));
+        assert_eq!(next.away, ["a", "e"].map(|host| Exclusion { host: host.into(), after: None }));
         assert_eq!(order(&go("e"), &next, &done), Ok(None));
         let again = order(&come("e"), &next, &done).expect("fit").expect("takes the removal back");
         assert!(!again.away.iter().any(|away| away.host == "e"));
--- a/crates/replica/src/state.rs
+++ b/crates/replica/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::departures::Departures;
 use crate::order_memory::{FormerRecord, OrderMemory, Recall};
-use nickeljunction_consensus::Away;
+use nickeljunction_consensus::Exclusion;
 use nickeljunction_operations::{OperationTable, OperationsEntry};
 use nickeljunction_registry::Changes;
 use nickeljunction_schema::{Difference, DocumentDigest};
@@ -101,7 +101,7 @@
     pub come: Option<String>,
     /// Hosts that are to be none, that of this order last.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub away: Vec<Away>,
+    pub away: Vec<Exclusion>,
 }
 
 /// What is to become of a tenant's trial.
@@ -437,7 +437,7 @@
         state.apply(Entry::Gateways { come: come(8), gone: vec![u64::MAX] });
         assert!(!state.to_text().contains("core"), "where nobody ordered, snapshots are as they were");
         let order =
-            CoreOrder { come: Some("h4".into()), away: vec![Away { host: "h1".into(), after: None }] };
+            CoreOrder { come: Some("h4".into()), away: vec![Exclusion { host: "h1".into(), after: None }] };
         assert_eq!(state.apply(Entry::Core { base: 0, order: order.clone() }), Outcome::Taken);
         let late = Entry::Core { base: 0, order: CoreOrder::default() };
         assert_eq!(state.apply(late), Outcome::Conflict, "it was made without the other one in view");
--- a/crates/replica/tests/alone/mod.rs
+++ b/crates/replica/tests/alone/mod.rs
@@ -3,7 +3,9 @@
 // Not every test needs all of it.
 #![allow(dead_code)]
 
-use nickeljunction_consensus::{first_id, Body, Entry as Logged, Hard, Restored, Snapshot, Tuning};
+use nickeljunction_consensus::{
+    bootstrap_member_id, Body, Entry as Logged, HardState, Restored, Snapshot, Tuning,
+};
 use nickeljunction_messages::Member;
 use nickeljunction_replica::{Answer, Change, Place, Replica};
 use nickeljunction_schema::Bounds;
@@ -22,7 +24,7 @@
 impl Alone {
     /// From a snapshot of its state, and entries after it.
     pub fn new(state: &str, entries: &[String]) -> Alone {
-        let me = Member { id: first_id("10.0.0.1"), host: "10.0.0.1".into() };
+        let me = Member { id: bootstrap_member_id("10.0.0.1"), host: "10.0.0.1".into() };
         let snapshot = Snapshot { index: 1, term: 1, members: vec![me.clone()], state: state.into() };
         let logged = |(at, data): (usize, &String)| Logged {
             index: at as u64 + 2,
@@ -30,8 +32,8 @@
             body: Body::Data(data.clone()),
         };
         let entries = entries.iter().enumerate().map(logged).collect();
-        let hard = Hard { term: 1, ..Hard::default() };
-        let restored = Restored { me, new: false, hard, snapshot: Some(snapshot), entries };
+        let hard = HardState { term: 1, ..HardState::default() };
+        let restored = Restored { me, is_new: false, hard, snapshot: Some(snapshot), entries };
         let place = Place {
             name: "core-1".into(),
             host: "10.0.0.1".into(),
--- a/crates/replica/tests/away/mod.rs
+++ b/crates/replica/tests/away/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code, missing_docs)]
 
-use nickeljunction_consensus::{first_id, Envelope, Msg, Restored, Tuning, Write};
+use nickeljunction_consensus::{bootstrap_member_id, Envelope, Msg, Restored, Tuning, Write};
 use nickeljunction_messages::Member;
 use nickeljunction_replica::outbox::{Lane, Outbox};
 use nickeljunction_replica::{Answer, Change, Event, Place, Replica, Ticket};
@@ -22,7 +22,7 @@
 }
 
 fn member(node: usize) -> Member {
-    Member { id: first_id(&host(node)), host: host(node) }
+    Member { id: bootstrap_member_id(&host(node)), host: host(node) }
 }
 
 fn route(number: usize, timeout_s: u64) -> Value {
@@ -171,7 +171,7 @@
         };
         let restored = match self.nodes[node].disk.load().expect("readable") {
             Some(kept) => kept.into(),
-            None => Restored::first(member(node), (0..MEMBERS).map(member).collect()),
+            None => Restored::bootstrap(member(node), (0..MEMBERS).map(member).collect()),
         };
         let one = &mut self.nodes[node];
         one.life += 1;
--- a/crates/replica/tests/differences.rs
+++ b/crates/replica/tests/differences.rs
@@ -1,6 +1,8 @@
 //! Changes on the log as differences, and a member on which one makes another document than where it was proposed.
 
-use nickeljunction_consensus::{first_id, Entry as Logged, Envelope, Hard, Restored, Snapshot, Tuning};
+use nickeljunction_consensus::{
+    bootstrap_member_id, Entry as Logged, Envelope, HardState, Restored, Snapshot, Tuning,
+};
 use nickeljunction_messages::{Member, WatchAnswer};
 use nickeljunction_replica::state::{Entry, Outcome, ReplicatedState};
 use nickeljunction_replica::{Answer, Change, Event, Place, Replica, Ticket};
@@ -55,7 +57,7 @@
 impl Core {
     /// The snapshot of member `odd` is another one than the others'.
     fn new(seed: u64, odd: Option<usize>) -> Core {
-        let member = |node| Member { id: first_id(&host(node)), host: host(node) };
+        let member = |node| Member { id: bootstrap_member_id(&host(node)), host: host(node) };
         let house = |node: usize| {
             let place = Place {
                 name: format!("core-{node}"),
@@ -67,8 +69,8 @@
             let members = (0..MEMBERS).map(member).collect();
             let state = snapshot(odd == Some(node));
             let snapshot = Some(Snapshot { index: 9, term: 1, members, state });
-            let hard = Hard { term: 1, vote: None };
-            let restored = Restored { me: member(node), new: false, hard, snapshot, entries: Vec::new() };
+            let hard = HardState { term: 1, vote: None };
+            let restored = Restored { me: member(node), is_new: false, hard, snapshot, entries: Vec::new() };
             Replica::new(Rc::new(place), restored, Tuning::default(), seed * 10 + node as u64, 1_000)
         };
         let mut core = Core {
--- a/crates/replica/tests/member.rs
+++ b/crates/replica/tests/member.rs
@@ -1,6 +1,6 @@
 //! Three members on a fake clock, between links that are cut when told to.
 
-use nickeljunction_consensus::{first_id, Envelope, Restored, Tuning};
+use nickeljunction_consensus::{bootstrap_member_id, Envelope, Restored, Tuning};
 use nickeljunction_messages::{
     Caller, ClaimCall, Claimant, EbbCall, GatewayLine, Member, OperationId, ServerState, TenantUnits,
     UnitsCall, WatchAnswer, WatchCall,
@@ -37,7 +37,7 @@
     /// A core that leads, with a configuration.
     fn new(seed: u64) -> Core {
         println!("seed {seed}");
-        let member = |node| Member { id: first_id(&host(node)), host: host(node) };
+        let member = |node| Member { id: bootstrap_member_id(&host(node)), host: host(node) };
         let now = 1_000;
         let house = |node| {
             let place = Place {
@@ -47,7 +47,7 @@
                 bounds: Bounds::usual(),
                 heartbeat_ms: 1_000,
             };
-            let restored = Restored::first(member(node), (0..3).map(member).collect());
+            let restored = Restored::bootstrap(member(node), (0..3).map(member).collect());
             Replica::new(Rc::new(place), restored, Tuning::default(), seed + node as u64, now)
         };
         let houses = (0..3).map(house).collect();
--- a/crates/replica/tests/members.rs
+++ b/crates/replica/tests/members.rs
@@ -1,7 +1,7 @@
 //! Orders on who is a member of the core, through whole core members on a clock of their own: each message takes 2 ms, each
 //! write is synced at once.
 
-use nickeljunction_consensus::{draw_id, first_id, Envelope, Restored, Tuning};
+use nickeljunction_consensus::{bootstrap_member_id, member_id_from_random, Envelope, Restored, Tuning};
 use nickeljunction_messages::Member;
 use nickeljunction_replica::{Answer, Place, Replica, Ticket, Unfit, Wish};
 use nickeljunction_schema::Bounds;
@@ -92,9 +92,10 @@
 #[test]
 fn the_leader_is_replaced_by_order_and_stays_away() {
     let mut core = Core { now: 0, houses: BTreeMap::new(), mail: Vec::new(), answers: Vec::new() };
-    let founders: Vec<Member> = (1..=3).map(|n| Member { id: first_id(&host(n)), host: host(n) }).collect();
+    let founders: Vec<Member> =
+        (1..=3).map(|n| Member { id: bootstrap_member_id(&host(n)), host: host(n) }).collect();
     for (number, me) in (1..).zip(&founders) {
-        core.start(number, Restored::first(me.clone(), founders.clone()));
+        core.start(number, Restored::bootstrap(me.clone(), founders.clone()));
     }
     core.run(2_000);
     let old = core.leader();
@@ -106,7 +107,7 @@
     let view = core.houses[&old].core_view(core.now);
     assert!(view.machines.iter().any(|berth| berth.host == host(4) && berth.part == "awaited"), "{view:?}");
     // The machine starts: it comes, the old leader goes and stays away though it asks.
-    core.start(4, Restored::stranger(Member { id: draw_id(77), host: host(4) }));
+    core.start(4, Restored::joining(Member { id: member_id_from_random(77), host: host(4) }));
     core.run(3_000);
     let left: Vec<String> = (1..=4).map(host).filter(|host| *host != old).collect();
     assert_eq!(core.members(), left);
--- a/crates/simulation/src/member.rs
+++ b/crates/simulation/src/member.rs
@@ -169,7 +169,7 @@
             self.leads(),
             book.term(),
             book.commit(),
-            book.sick(),
+            book.disk_failed(),
             book.quorum_age(now),
             self.writes.len(),
             self.writing,
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -5,7 +5,7 @@
 
 use crate::claimants::FIRST_CALL;
 use crate::{host, Answer, Audit, Claimants, Gateway, Member, Node, Operators, Out, Packet, Pipe};
-use nickeljunction_consensus::{first_id, Restored, Tuning};
+use nickeljunction_consensus::{bootstrap_member_id, Restored, Tuning};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What a world begins with.
@@ -69,7 +69,7 @@
 
     /// The first start of a system whose core is to bear the loss of so many machines at once, as `serve::run` has it.
     pub fn bearing(plan: Plan, losses: usize, seed: u64) -> World {
-        World::tuned(plan, Tuning::bearing(losses), seed)
+        World::tuned(plan, Tuning::tolerating(losses), seed)
     }
 
     fn tuned(plan: Plan, tuning: Tuning, seed: u64) -> World {
@@ -104,13 +104,15 @@
             rng,
         };
         // serve::open, at the first start.
-        let member =
-            |host: &String| nickeljunction_messages::Member { id: first_id(host), host: host.clone() };
+        let member = |host: &String| nickeljunction_messages::Member {
+            id: bootstrap_member_id(host),
+            host: host.clone(),
+        };
         for node in 0..plan.members {
             let me = member(&host(node));
             let restored = match node < plan.seeds {
-                true => Restored::first(me, seeds.iter().map(member).collect()),
-                false => Restored::stranger(me),
+                true => Restored::bootstrap(me, seeds.iter().map(member).collect()),
+                false => Restored::joining(me),
             };
             world.at_member(node, |one, now, out| one.start(now, restored, &seeds, out));
         }
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use crate::{host, Gateway, Node};
-use nickeljunction_consensus::{draw_id, Restored};
+use nickeljunction_consensus::{member_id_from_random, Restored};
 
 impl World {
     /// Ends a core member's process.
@@ -45,8 +45,8 @@
 
     /// Starts a core member again; see `serve::open`.
     pub fn start(&mut self, node: Node) {
-        let id = draw_id(self.rng.u64(..));
-        let stranger = || Restored::stranger(nickeljunction_messages::Member { id, host: host(node) });
+        let id = member_id_from_random(self.rng.u64(..));
+        let stranger = || Restored::joining(nickeljunction_messages::Member { id, host: host(node) });
         let restored = self.members[node].load().unwrap_or_else(stranger);
         let seeds = self.seeds.clone();
         self.at_member(node, |one, now, out| one.start(now, restored, &seeds, out));
--- a/crates/storage/src/closing.rs
+++ b/crates/storage/src/closing.rs
@@ -8,7 +8,7 @@
 use crate::tests::{seeds, temp};
 use crate::{FileLogStore, LogStore};
 use nickeljunction_consensus::{
-    draw_id, first_id, Body, Consensus, Envelope, Member, Restored, Tuning, Write,
+    bootstrap_member_id, member_id_from_random, Body, Consensus, Envelope, Member, Restored, Tuning, Write,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::{Path, PathBuf};
@@ -90,14 +90,14 @@
             machines: Vec::new(),
             due: BTreeMap::new(),
             number: 0,
-            tuning: Tuning::bearing(losses),
+            tuning: Tuning::tolerating(losses),
             flaw,
             proposed: BTreeMap::new(),
             acknowledged: Vec::new(),
             values: 0,
         };
         let founders: Vec<Member> =
-            (0..members).map(host).map(|host| Member { id: first_id(&host), host }).collect();
+            (0..members).map(host).map(|host| Member { id: bootstrap_member_id(&host), host }).collect();
         for founder in &founders {
             day.machines.push(Machine {
                 host: founder.host.clone(),
@@ -112,7 +112,7 @@
             });
         }
         for (number, founder) in founders.iter().enumerate() {
-            day.start(number, Some(Restored::first(founder.clone(), founders.clone())));
+            day.start(number, Some(Restored::bootstrap(founder.clone(), founders.clone())));
         }
         day
     }
@@ -128,12 +128,12 @@
             store.forget_syncs();
         }
         let host = self.machines[number].host.clone();
-        let stranger = Restored::stranger(Member { id: draw_id(self.rng.u64(..)), host });
+        let stranger = Restored::joining(Member { id: member_id_from_random(self.rng.u64(..)), host });
         let kept = store.load().expect("a disk that can be read").map(Restored::from);
         let restored = kept.or(first).unwrap_or(stranger);
         let hosts: Vec<String> = self.machines.iter().map(|machine| machine.host.clone()).collect();
         let mut book = Consensus::new(restored, self.tuning, self.rng.u64(..), self.now);
-        book.seek(&hosts);
+        book.add_seed_hosts(&hosts);
         let machine = &mut self.machines[number];
         (machine.state, machine.applied, machine.snapshot_at) = (Vec::new(), 0, 0);
         (machine.store, machine.book, machine.writing) = (Some(store), Some(book), false);
@@ -159,7 +159,7 @@
         loop {
             let machine = &mut self.machines[number];
             let Some(book) = &mut machine.book else { return };
-            let outputs = book.take();
+            let outputs = book.take_outputs();
             if outputs == Default::default() {
                 break;
             }
--- a/crates/storage/src/kills.rs
+++ b/crates/storage/src/kills.rs
@@ -6,7 +6,7 @@
 use crate::stored_state::StoredState;
 use crate::tests::{copy, seeds, tear, temp, Writer};
 use crate::{FileLogStore, LogStore, StorageError, StoreReport};
-use nickeljunction_consensus::{Body, Entry, Hard, Member, Write};
+use nickeljunction_consensus::{Body, Entry, HardState, Member, Write};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -148,7 +148,7 @@
 /// A store as formats 1 to 3 had it; format 1 without a stamp.
 fn older_format(dir: &Path, stamp: Option<StoreHeader>) -> StoredState {
     let me = Member { id: 7, host: "10.0.0.1".to_owned() };
-    let hard = Hard { term: 3, vote: Some(7) };
+    let hard = HardState { term: 3, vote: Some(7) };
     let entry = |index| Entry { index, term: 2, body: Body::Data("x".repeat(9_000)) };
     let entries = vec![entry(1), entry(2)];
     let db = open_database(&dir.join("store.1")).unwrap();
@@ -187,7 +187,7 @@
     assert_eq!(StoreReport::of(dir.path()).unwrap().format, 1);
     let mut store = FileLogStore::open(dir.path()).unwrap();
     assert_eq!((store.load().unwrap(), store.given_up()), (Some(kept.clone()), None));
-    let hard = Hard { term: 4, vote: None };
+    let hard = HardState { term: 4, vote: None };
     store.save(&Write { ticket: 1, hard: Some(hard), ..Write::default() }).unwrap();
     drop(store);
     let survey = StoreReport::of(dir.path()).unwrap();
@@ -196,7 +196,7 @@
     // A program of format 1 reads it, too: it knows all keys, and passes over what it doesn't know in a record.
     let stamp = StoreHeader { format: 2, store: 5, saves: 9 };
     let json = serde_json::to_string(&HardStateRecord { hard, stamp }).unwrap();
-    assert_eq!(serde_json::from_str::<Hard>(&json).unwrap(), hard);
+    assert_eq!(serde_json::from_str::<HardState>(&json).unwrap(), hard);
     // A head of format 2 becomes one of this format before anything is saved, and what it tells stays.
     let mark = dir.path().join(MARK);
     let now = fs::read(&mark).unwrap();
--- a/crates/storage/src/legacy.rs
+++ b/crates/storage/src/legacy.rs
@@ -7,7 +7,7 @@
 use crate::log_file::StoreHeader;
 use crate::stored_state::{corrupt, StoredState};
 use crate::StorageError;
-use nickeljunction_consensus::{Entry, Hard, Member, Snapshot};
+use nickeljunction_consensus::{Entry, HardState, Member, Snapshot};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::fs;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HardStateRecord {
     #[serde(flatten)]
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     #[serde(flatten)]
     pub(crate) stamp: StoreHeader,
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -5,7 +5,7 @@
 //! let mut store = FileLogStore::open(dir)?;                   // a store that is broken beyond repair starts anew, empty
 //! let restored = match store.load()? {
 //!     Some(kept) => kept.into(),                         // consensus::Restored
-//!     None => Restored::stranger(Member { id: draw_id(random), host }),
+//!     None => Restored::joining(Member { id: member_id_from_random(random), host }),
 //! };
 //! // for each write in Outputs::writes, in order; blocks for the time of some syncs:
 //! match store.save(&write) { Ok(()) => consensus.written(now, write.ticket), Err(_) => consensus.write_failed(now, write.ticket) }
--- a/crates/storage/src/log_file.rs
+++ b/crates/storage/src/log_file.rs
@@ -7,7 +7,7 @@
 use crate::high_water_mark::FORMAT;
 use crate::stored_state::{corrupt, StoredState};
 use crate::StorageError;
-use nickeljunction_consensus::{Entry, Hard, Member, Snapshot, Write};
+use nickeljunction_consensus::{Entry, HardState, Member, Snapshot, Write};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -55,7 +55,7 @@
     #[serde(flatten)]
     stamp: StoreHeader,
     #[serde(rename = "h")]
-    hard: Hard,
+    hard: HardState,
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     me: Option<Cow<'a, Member>>,
     /// Entries from this index on are deleted.
@@ -68,7 +68,7 @@
 }
 
 impl<'a> Record<'a> {
-    fn of(write: &'a Write, hard: Hard, stamp: StoreHeader) -> Record<'a> {
+    fn of(write: &'a Write, hard: HardState, stamp: StoreHeader) -> Record<'a> {
         Record {
             stamp,
             hard,
@@ -309,7 +309,7 @@
     pub(crate) fn append(
         &mut self,
         write: &Write,
-        hard: Hard,
+        hard: HardState,
         stamp: StoreHeader,
     ) -> Result<(), StorageError> {
         let tail = self.write(write, hard, stamp)?;
@@ -319,7 +319,7 @@
     }
 
     /// Writes a record after the last one; where it ends.
-    fn write(&self, write: &Write, hard: Hard, stamp: StoreHeader) -> Result<Tail, StorageError> {
+    fn write(&self, write: &Write, hard: HardState, stamp: StoreHeader) -> Result<Tail, StorageError> {
         let mut record = vec![0; RECORD_HEAD];
         serde_json::to_writer(&mut record, &Record::of(write, hard, stamp))
             .map_err(|_| corrupt("record", "can't be written"))?;
@@ -361,7 +361,7 @@
 #[cfg(test)]
 impl LogFile {
     /// Gets a save to the file, but not synced, and forgets it.
-    pub(crate) fn write_unsynced(&self, write: &Write, hard: Hard, stamp: StoreHeader) {
+    pub(crate) fn write_unsynced(&self, write: &Write, hard: HardState, stamp: StoreHeader) {
         self.write(write, hard, stamp).expect("it is written");
     }
 }
--- a/crates/storage/src/store_report.rs
+++ b/crates/storage/src/store_report.rs
@@ -7,7 +7,7 @@
 use crate::log_file::{self, StoreHeader, LOG};
 use crate::stored_state::{corrupt, StoredState};
 use crate::StorageError;
-use nickeljunction_consensus::{Entry, Hard, Member, Snapshot};
+use nickeljunction_consensus::{Entry, HardState, Member, Snapshot};
 use std::collections::BTreeMap;
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -30,7 +30,7 @@
     /// Whose disk it is.
     pub me: Option<Member>,
     /// Term and vote.
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries that could be read, in the order of the log.
--- a/crates/storage/src/stored_state.rs
+++ b/crates/storage/src/stored_state.rs
@@ -1,7 +1,7 @@
 //! What a disk has, and what a write makes of it.
 
 use crate::StorageError;
-use nickeljunction_consensus::{Entry, Hard, Member, Restored, Snapshot, Write};
+use nickeljunction_consensus::{Entry, HardState, Member, Restored, Snapshot, Write};
 
 /// What a disk gave back.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     /// Whose disk it is.
     pub me: Member,
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries after it, without gaps.
@@ -18,7 +18,13 @@
 
 impl From<StoredState> for Restored {
     fn from(kept: StoredState) -> Restored {
-        Restored { me: kept.me, new: false, hard: kept.hard, snapshot: kept.snapshot, entries: kept.entries }
+        Restored {
+            me: kept.me,
+            is_new: false,
+            hard: kept.hard,
+            snapshot: kept.snapshot,
+            entries: kept.entries,
+        }
     }
 }
 
@@ -39,9 +45,12 @@
                 kept.me = me.clone().unwrap_or(kept.me);
                 kept
             }
-            (None, Some(me)) => {
-                StoredState { me: me.clone(), hard: Hard::default(), snapshot: None, entries: Vec::new() }
-            }
+            (None, Some(me)) => StoredState {
+                me: me.clone(),
+                hard: HardState::default(),
+                snapshot: None,
+                entries: Vec::new(),
+            },
             (None, None) => return Err(corrupt("me", "the first write doesn't say whose disk it is")),
         };
         next.hard = write.hard.unwrap_or(next.hard);
@@ -89,7 +98,7 @@
     pub(crate) known: bool,
     /// Ticket of the last write of this life; 0: none yet.
     pub(crate) ticket: u64,
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     /// Index of the snapshot; 0: none, or one that covers nothing.
     pub(crate) snapshot: u64,
     /// Index and term of the last entry, or of the snapshot where there is none after it.
--- a/crates/storage/src/tests.rs
+++ b/crates/storage/src/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::stored_state::StoredState;
 use crate::{FileLogStore, LogStore, MemoryLogStore, StorageError};
-use nickeljunction_consensus::{Body, Entry, Hard, Member, Snapshot, Write};
+use nickeljunction_consensus::{Body, Entry, HardState, Member, Snapshot, Write};
 use std::fs;
 use std::path::Path;
 use tempfile::TempDir;
@@ -34,14 +34,14 @@
         let mut write = Write { ticket: self.ticket, ..Write::default() };
         let Some(kept) = &self.model else {
             write.me = Some(Member { id: 7, host: "10.0.0.1".to_owned() });
-            write.hard = Some(Hard { term: 1, vote: None });
+            write.hard = Some(HardState { term: 1, vote: None });
             return write;
         };
         let base = kept.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let mut last = kept.entries.last().map_or(base, |entry| entry.index);
         let mut hard = kept.hard;
         if self.rng.u8(..10) == 0 {
-            hard = Hard { term: hard.term + 1, vote: self.rng.bool().then_some(7) };
+            hard = HardState { term: hard.term + 1, vote: self.rng.bool().then_some(7) };
             write.hard = Some(hard);
             if last > base && self.rng.bool() {
                 write.truncate_from = Some(self.rng.u64(base + 1..=last));
@@ -179,7 +179,7 @@
         write.entries.push(Entry { index, term: 1, body: Body::Data("x".repeat(4_000)) });
         if index == 1 {
             write.me = Some(me.clone());
-            write.hard = Some(Hard { term: 1, vote: None });
+            write.hard = Some(HardState { term: 1, vote: None });
         }
         if index % 50 == 0 {
             let state = "s".repeat(20_000);
