--- a/crates/decide/src/decide/mod.rs
+++ b/crates/decide/src/decide/mod.rs
@@ -62,7 +62,7 @@
             unseen: 1.0 - (FEW / settings.siblings.max(1) as f64).min(1.0),
             latency: guesses.iter().map(|guess| Average::of(*guess)).collect(),
             calm: guesses,
-            usual: vec![crate::age::Usual::default(); settings.classes.len()],
+            usual: vec![crate::retry_age::Usual::default(); settings.classes.len()],
             size: Average::of(1.0),
             retries: RETRY_SAVED / 2.0,
             admit: 1.0,
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,11 +1,11 @@
 //! The decision module and the simulator's wire. Sans-IO: events and the time come in, actions go out.
 
-mod age;
+mod retry_age;
 pub mod api;
-mod book;
+mod attempt_counts;
 pub mod decide;
-mod figures;
-mod late;
+mod plan_change;
+mod late_counts;
 mod state;
-mod tune;
+mod settings_update;
 pub mod wire;
--- a/crates/decide/src/tune.rs
+++ b/crates/decide/src/settings_update.rs
@@ -2,7 +2,7 @@
 //! only rebuilt by the module's own rule out of the figures that hold for its window.
 
 use crate::api::Settings;
-use crate::figures::Figures;
+use crate::plan_change::Figures;
 use crate::state::{Average, Limiter, Pool, FIRST_GUESS};
 
 impl Limiter {
@@ -17,7 +17,7 @@
             let guess = class.aim_ms * FIRST_GUESS;
             self.latency.push(Average::of(guess));
             self.calm.push(guess);
-            self.usual.push(crate::age::Usual::default());
+            self.usual.push(crate::retry_age::Usual::default());
         }
     }
 
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct Limiter {
     pub(crate) settings: Settings,
-    pub(crate) figures: crate::figures::Figures,
+    pub(crate) figures: crate::plan_change::Figures,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: f64,
     pub(crate) out: Vec<Action>,
@@ -44,7 +44,7 @@
     pub(crate) size: Average,
     /// The lowest that the mean latency of each class has been, ms: servers that hold little.
     pub(crate) calm: Vec<f64>,
-    pub(crate) usual: Vec<crate::age::Usual>,
+    pub(crate) usual: Vec<crate::retry_age::Usual>,
     /// Part of the fetches that fitted lately, by plan.
     pub(crate) trust: Vec<f64>,
     /// Odds that a fetch is made rather than its request served on trust.
