--- a/crates/config/src/bundle.rs
+++ b/crates/config/src/bundle.rs
@@ -128,7 +128,7 @@
     let mut plans = settings.plans.clone();
     plans.sort_by(|a, b| a.name.cmp(&b.name));
     let mut hasher = blake3::Hasher::new_derive_key(DIGEST_CONTEXT);
-    hasher.update(&(settings.siblings as u64).to_le_bytes());
+    hasher.update(&(settings.gateway_count as u64).to_le_bytes());
     for plan in plans {
         hasher.update(&(plan.name.len() as u64).to_le_bytes());
         hasher.update(plan.name.as_bytes());
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -313,8 +313,8 @@
             continue;
         }
         let class = class.flatten();
-        let aim = times.aim_ms.or(class.map(|class| class.aim_ms));
-        let give_up = times.give_up_ms.or(class.map(|class| class.give_up_ms));
+        let aim = times.aim_ms.or(class.map(|class| class.target_latency_ms));
+        let give_up = times.give_up_ms.or(class.map(|class| class.client_timeout_ms));
         if let (Some(aim), Some(give_up)) = (aim, give_up) {
             if aim > give_up {
                 tell(
@@ -334,10 +334,10 @@
                 let path = format!("routes.routes[{at}].class");
                 tell(&path, format!("the class '{class}'"), &format!("one of: {}", list_of(&names)));
             }
-            if route.units.is_some_and(|units| units > base.units_top.max(1.0)) {
+            if route.units.is_some_and(|units| units > base.max_request_units.max(1.0)) {
                 let path = format!("routes.routes[{at}].units");
                 let found = route.units.unwrap_or_default().to_string();
-                tell(&path, found, &format!("at most the largest request, {} units", base.units_top));
+                tell(&path, found, &format!("at most the largest request, {} units", base.max_request_units));
             }
         }
     }
@@ -371,7 +371,7 @@
             "a ceiling that is no lower than the quota",
         );
     }
-    let top = base.map_or(0.0, |base| base.units_top);
+    let top = base.map_or(0.0, |base| base.max_request_units);
     if burst.is_some_and(|burst| burst > 0.0 && burst < top) {
         tell(
             &path("burst"),
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -403,9 +403,9 @@
                 (&mut plan.ceiling_rate, figures.ceiling_rate),
                 (&mut plan.ceiling_burst, figures.ceiling_burst),
                 (&mut plan.ceiling_slack, figures.ceiling_slack),
-                (&mut plan.at_once, figures.at_once),
-                (&mut plan.price, figures.price),
-                (&mut plan.over_cost, figures.over_cost),
+                (&mut plan.max_concurrent, figures.at_once),
+                (&mut plan.worth_factor, figures.price),
+                (&mut plan.excess_cost, figures.over_cost),
             ] {
                 *to = figure.unwrap_or(*to);
             }
@@ -418,8 +418,8 @@
             settings.counter_timeout_ms = times.counter_ms.unwrap_or(settings.counter_timeout_ms);
             for class in &mut settings.classes {
                 if let Some(own) = times.classes.get(&class.name) {
-                    class.aim_ms = own.aim_ms.unwrap_or(class.aim_ms);
-                    class.give_up_ms = own.give_up_ms.unwrap_or(class.give_up_ms);
+                    class.target_latency_ms = own.aim_ms.unwrap_or(class.target_latency_ms);
+                    class.client_timeout_ms = own.give_up_ms.unwrap_or(class.client_timeout_ms);
                 }
             }
         }
@@ -438,7 +438,7 @@
             Plan {
                 rate: least(a.rate, b.rate),
                 burst: least(a.burst, b.burst),
-                at_once: least(a.at_once, b.at_once),
+                max_concurrent: least(a.max_concurrent, b.max_concurrent),
                 ceiling_rate,
                 ceiling_burst: least(a.ceiling_burst, b.ceiling_burst),
                 // Where only one of the two has a ceiling, its own slack goes with it.
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -11,10 +11,10 @@
         name: name.into(),
         rate,
         burst,
-        at_once: 0.0,
-        price: 1.0,
+        max_concurrent: 0.0,
+        worth_factor: 1.0,
         excess_worth: 0.0,
-        over_cost: 1.0,
+        excess_cost: 1.0,
         ceiling_rate: ceiling * rate,
         ceiling_burst: ceiling * burst,
         ceiling_slack: if ceiling > 0.0 { 2.0 } else { 0.0 },
@@ -24,17 +24,17 @@
 fn base() -> Settings {
     let class = nickeljunction_core::facade::Class {
         name: "slot-lookup".into(),
-        aim_ms: 500.0,
-        give_up_ms: 2_000.0,
-        repeat: nickeljunction_core::facade::Repeat::Repeatable,
-        group: nickeljunction_core::facade::Group::All,
+        target_latency_ms: 500.0,
+        client_timeout_ms: 2_000.0,
+        retry_safety: nickeljunction_core::facade::RetrySafety::Idempotent,
+        dedup_scope: nickeljunction_core::facade::DedupScope::All,
         key_ttl_ms: 0.0,
         late_share: 0.0,
         stream: false,
         worth: 1.0,
     };
     let plans = vec![plan("starter", 2.0, 8.0, 0.0), plan("growth", 10.0, 20.0, 2.0)];
-    Settings { classes: vec![class], plans, units_top: 6.0, siblings: 3, ..Settings::default() }
+    Settings { classes: vec![class], plans, max_request_units: 6.0, gateway_count: 3, ..Settings::default() }
 }
 
 fn problems(text: &str) -> Vec<String> {
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -32,17 +32,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use nickeljunction_decide::api::{Group, Repeat};
+    use nickeljunction_decide::api::{DedupScope, RetrySafety};
 
-    fn class(name: &str, repeat: Repeat, aim_ms: f64) -> Class {
-        let group = Group::All;
+    fn class(name: &str, repeat: RetrySafety, aim_ms: f64) -> Class {
+        let group = DedupScope::All;
         let (give_up_ms, key_ttl_ms) = (3.0 * aim_ms, 1_000.0);
         Class {
             name: name.into(),
-            aim_ms,
-            give_up_ms,
-            repeat,
-            group,
+            target_latency_ms: aim_ms,
+            client_timeout_ms: give_up_ms,
+            retry_safety: repeat,
+            dedup_scope: group,
             key_ttl_ms,
             late_share: 0.0,
             stream: false,
@@ -52,15 +52,19 @@
 
     #[test]
     fn kept_classes_keep_their_places_and_changed_or_dropped_ones_stay_for_open_requests() {
-        let (safe, once) = (class("safe", Repeat::Repeatable, 400.0), class("once", Repeat::Once, 400.0));
-        let old = vec![safe.clone(), once.clone(), class("gone", Repeat::Once, 100.0)];
-        let new =
-            vec![class("fresh", Repeat::Once, 50.0), class("once", Repeat::Repeatable, 400.0), safe.clone()];
+        let (safe, once) =
+            (class("safe", RetrySafety::Idempotent, 400.0), class("once", RetrySafety::AtMostOnce, 400.0));
+        let old = vec![safe.clone(), once.clone(), class("gone", RetrySafety::AtMostOnce, 100.0)];
+        let new = vec![
+            class("fresh", RetrySafety::AtMostOnce, 50.0),
+            class("once", RetrySafety::Idempotent, 400.0),
+            safe.clone(),
+        ];
         let carried = carry(&old, new, 1);
         let names: Vec<&str> = carried.iter().map(|class| class.name.as_str()).collect();
         assert_eq!(names, ["safe", "once\n1", "gone\n1", "fresh", "once"]);
-        assert_eq!(carried[1].repeat, Repeat::Once, "open requests keep the old rules");
-        assert_eq!(carried[4].repeat, Repeat::Repeatable, "new ones take the new rules");
+        assert_eq!(carried[1].retry_safety, RetrySafety::AtMostOnce, "open requests keep the old rules");
+        assert_eq!(carried[4].retry_safety, RetrySafety::Idempotent, "new ones take the new rules");
         // A second change leaves the retired where they are and retires no more than changes.
         let again = carry(&carried, vec![safe.clone()], 2);
         let names: Vec<&str> = again.iter().map(|class| class.name.as_str()).collect();
--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -7,7 +7,7 @@
 use nickeljunction_decide::decide::Limiter;
 use std::collections::BTreeMap;
 
-pub use nickeljunction_decide::api::{BadSettings, Class, Group, Plan, Repeat, Settings};
+pub use nickeljunction_decide::api::{Class, DedupScope, InvalidSettings, Plan, RetrySafety, Settings};
 
 /// Number of a request within this process, never reused.
 pub type RequestKey = u64;
@@ -195,8 +195,12 @@
 fn twinned(mut settings: Settings, strict: bool) -> Settings {
     if strict {
         let twins: Vec<Class> = (settings.classes.iter())
-            .filter(|class| class.repeat != Repeat::Once)
-            .map(|class| Class { name: never_twice(&class.name), repeat: Repeat::Once, ..class.clone() })
+            .filter(|class| class.retry_safety != RetrySafety::AtMostOnce)
+            .map(|class| Class {
+                name: never_twice(&class.name),
+                retry_safety: RetrySafety::AtMostOnce,
+                ..class.clone()
+            })
             .collect();
         settings.classes.extend(twins);
     }
@@ -207,7 +211,7 @@
 ///
 /// # Errors
 /// The key that no module can work with.
-pub fn check(settings: &Settings) -> Result<(), BadSettings> {
+pub fn check(settings: &Settings) -> Result<(), InvalidSettings> {
     Limiter::new(settings.clone(), 0).map(drop)
 }
 
@@ -268,9 +272,9 @@
 impl Facade {
     /// A module with these settings. `strict` adds a never-twice twin of every class that may run again,
     /// for requests with [`Intake::never_twice`]; it is off where no front asks for it.
-    pub fn new(settings: Settings, seed: u64, strict: bool) -> Result<Facade, BadSettings> {
+    pub fn new(settings: Settings, seed: u64, strict: bool) -> Result<Facade, InvalidSettings> {
         let settings = twinned(settings, strict);
-        let units_top = settings.units_top.max(1.0);
+        let units_top = settings.max_request_units.max(1.0);
         let (classes, changes) = (settings.classes.clone(), 0);
         let limiter = Limiter::new(settings, seed)?;
         let (attempts, wake, actions) = (BTreeMap::new(), None, Vec::new());
@@ -298,9 +302,9 @@
             class,
             plan: intake.plan.clone(),
             customer: intake.customer,
-            patience_ms: intake.patience_ms,
+            timeout_ms: intake.patience_ms,
             units: intake.units,
-            doors: intake.doors,
+            gateways: intake.doors,
             retry: intake.retry,
         };
         self.attempts.insert(request, 0);
@@ -326,10 +330,10 @@
                     Outcome::TurnedAway => Status::QueueFull,
                     Outcome::CouldNotConnect => Status::ConnectError,
                     Outcome::Reset => Status::Reset,
-                    Outcome::Spoilt => Status::Spoilt,
+                    Outcome::Spoilt => Status::Unreadable,
                     Outcome::TimedOut => Status::TimedOut,
                     Outcome::CalledOff => Status::Canceled,
-                    Outcome::NotSent => Status::Ignored,
+                    Outcome::NotSent => Status::NotSent,
                 };
                 // A figure on use that can't be true says nothing; believed, it would empty a quota.
                 let settled = if settled <= self.units_top { settled } else { 0.0 };
@@ -339,27 +343,27 @@
                     attempt,
                     server: region,
                     status,
-                    settled,
+                    settled_units: settled,
                     latency_ms,
-                    closed,
+                    request_closed: closed,
                     load,
                 })
             }
             Report::Left(request) => {
                 self.attempts.remove(&request);
-                Event::Gone(request.to_string())
+                Event::Abandoned(request.to_string())
             }
             Report::Counted(name, reply) => match reply {
-                CounterReply::Total(total) => Event::Counted(name, Status::Ok, total),
-                CounterReply::Busy => Event::Counted(name, Status::QueueFull, 0.0),
-                CounterReply::CouldNotConnect => Event::Counted(name, Status::ConnectError, 0.0),
-                CounterReply::TimedOut => Event::Counted(name, Status::TimedOut, 0.0),
-                CounterReply::Late(total) => Event::Late(name, Some(total)),
-                CounterReply::Never => Event::Late(name, None),
+                CounterReply::Total(total) => Event::CountReply(name, Status::Ok, total),
+                CounterReply::Busy => Event::CountReply(name, Status::QueueFull, 0.0),
+                CounterReply::CouldNotConnect => Event::CountReply(name, Status::ConnectError, 0.0),
+                CounterReply::TimedOut => Event::CountReply(name, Status::TimedOut, 0.0),
+                CounterReply::Late(total) => Event::LateCount(name, Some(total)),
+                CounterReply::Never => Event::LateCount(name, None),
             },
             Report::Table { table, saved } => {
                 let kind = match (saved, table.all) {
-                    (true, _) => ListKind::Saved,
+                    (true, _) => ListKind::Cached,
                     (false, true) => ListKind::Full,
                     (false, false) => ListKind::Incremental,
                 };
@@ -399,14 +403,16 @@
         self.changes += 1;
         settings.classes = crate::classes::carry(&self.classes, settings.classes, self.changes);
         self.classes.clone_from(&settings.classes);
-        self.units_top = settings.units_top.max(1.0);
-        self.limiter.retune(settings, from);
+        self.units_top = settings.max_request_units.max(1.0);
+        self.limiter.update_settings(settings, from);
     }
 
     /// The module's counts of attempts out.
     pub(crate) fn believed(&self) -> BTreeMap<Whose, usize> {
-        let regions = self.limiter.out_by_server().map(|(uid, out)| (Whose::Region(uid.to_string()), out));
-        let customers = self.limiter.out_by_customer().map(|(number, out)| (Whose::Franchisee(number), out));
+        let regions =
+            self.limiter.attempts_by_server().map(|(uid, out)| (Whose::Region(uid.to_string()), out));
+        let customers =
+            self.limiter.attempts_by_customer().map(|(number, out)| (Whose::Franchisee(number), out));
         regions.chain(customers).collect()
     }
 
@@ -419,25 +425,26 @@
     /// Puts one of the module's counts right.
     pub(crate) fn put_right(&mut self, whose: &Whose, out: usize) {
         match whose {
-            Whose::Region(uid) => self.limiter.set_out_at(uid, out),
-            Whose::Franchisee(number) => self.limiter.set_out_of(*number, out),
+            Whose::Region(uid) => self.limiter.set_attempts_at_server(uid, out),
+            Whose::Franchisee(number) => self.limiter.set_attempts_of_customer(*number, out),
         }
     }
 
     /// The settings allow two attempts of a request to be out at once.
     pub fn second_copies(&self) -> bool {
-        self.limiter.second_copies()
+        self.limiter.hedging()
     }
 
     /// A request such as this may have two attempts out where the settings allow it: it repeats safely, or by key.
     pub fn copies(&self, intake: &Intake) -> bool {
-        let repeats = |class: &Class| class.name == intake.class && class.repeat != Repeat::Once;
+        let repeats =
+            |class: &Class| class.name == intake.class && class.retry_safety != RetrySafety::AtMostOnce;
         self.second_copies() && !intake.never_twice && self.classes.iter().any(repeats)
     }
 
     /// The module thinks the fleet short and sheds some of the work.
     pub fn sheds(&self) -> bool {
-        self.limiter.admission() < SHEDS_UNDER
+        self.limiter.admission_probability() < SHEDS_UNDER
     }
 
     /// The program stops: the counter calls that hand unused leases back.
@@ -446,7 +453,7 @@
             tap.input(now, Input::Retired);
         }
         let mut actions = std::mem::take(&mut self.actions);
-        self.limiter.retire(now, &mut actions);
+        self.limiter.shut_down(now, &mut actions);
         self.verdicts(now, actions)
     }
 
@@ -478,8 +485,8 @@
                     Verdict::Fail(request)
                 }
                 Action::Cancel(id, attempt) => Verdict::GiveUp(key(id), attempt),
-                Action::Count(name, amount, life_ms) => Verdict::Count(name, amount, life_ms),
-                Action::Close(region) => Verdict::CloseIdle(region),
+                Action::IncrementCounter(name, amount, life_ms) => Verdict::Count(name, amount, life_ms),
+                Action::CloseIdle(region) => Verdict::CloseIdle(region),
                 Action::Log(text) => Verdict::Note(text),
                 // The module has one timer, its sweep; an earlier one stands for a later one.
                 Action::Timer(_, after) => {
@@ -488,7 +495,7 @@
                     continue;
                 }
                 // The module probes nothing, and the watch is the service table's own affair.
-                Action::Probe(_) | Action::Watch | Action::FetchList => continue,
+                Action::Probe(_) | Action::SubscribeServers | Action::FetchServers => continue,
             });
         }
         self.actions = actions;
@@ -505,13 +512,13 @@
         state: match region.state {
             RegionState::Ready => ServerState::Up,
             RegionState::Terminating => ServerState::Draining,
-            RegionState::Gone => ServerState::Gone,
+            RegionState::Gone => ServerState::Removed,
         },
         zone: region.zone,
         cell: region.pod_group,
         weight: region.weight,
-        launched: region.boot_ms,
-        near: region.near,
-        order: region.order,
+        started_at_ms: region.boot_ms,
+        distance: region.near,
+        rank: region.order,
     }
 }
--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -399,7 +399,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::facade::{Class, Group, Plan, RegionEntry, RegionState, Repeat};
+    use crate::facade::{Class, DedupScope, Plan, RegionEntry, RegionState, RetrySafety};
 
     /// Writes down what the core wants; an answer takes the request's content with it.
     #[derive(Default)]
@@ -431,21 +431,21 @@
         fn close_idle(&mut self, _: &str) {}
     }
 
-    fn core(repeat: Repeat) -> Core<Log> {
+    fn core(repeat: RetrySafety) -> Core<Log> {
         let class = Class {
             name: "c".into(),
-            aim_ms: 400.0,
-            give_up_ms: 1_000.0,
-            repeat,
-            group: Group::All,
+            target_latency_ms: 400.0,
+            client_timeout_ms: 1_000.0,
+            retry_safety: repeat,
+            dedup_scope: DedupScope::All,
             key_ttl_ms: 1_000.0,
             late_share: 0.0,
             stream: false,
             worth: 1.0,
         };
-        let plan = Plan { name: "p".into(), over_cost: 0.0, ..Plan::default() };
+        let plan = Plan { name: "p".into(), excess_cost: 0.0, ..Plan::default() };
         let settings = Settings {
-            siblings: 1,
+            gateway_count: 1,
             step_ms: 2.0,
             classes: vec![class],
             plans: vec![plan],
@@ -479,7 +479,7 @@
 
     #[test]
     fn one_answer_whatever_comes_twice() {
-        let mut core = core(Repeat::Repeatable);
+        let mut core = core(RetrySafety::Idempotent);
         arrive(&mut core);
         core.ended(1_050.0, 7, 0, Outcome::Served, 1.0, Some("fine"));
         core.ended(1_051.0, 7, 0, Outcome::Served, 1.0, Some("again"));
@@ -491,7 +491,7 @@
 
     #[test]
     fn a_client_that_left_gets_nothing_and_its_attempt_is_still_accounted_for() {
-        let mut core = core(Repeat::Once);
+        let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
         core.left(1_010.0, 7);
         assert_eq!(core.requests.len(), 1, "the attempt is out");
@@ -502,7 +502,7 @@
 
     #[test]
     fn an_attempt_is_closed_before_the_next_and_the_deadline_answers() {
-        let mut core = core(Repeat::Once);
+        let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
         core.tick(1_979.0);
         assert_eq!(core.ports().0.len(), 1, "not yet");
@@ -514,7 +514,7 @@
 
     #[test]
     fn what_never_ran_goes_out_again_and_what_may_have_run_does_not() {
-        let mut core = core(Repeat::Once);
+        let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
         core.ended(1_010.0, 7, 0, Outcome::CouldNotConnect, 0.0, None);
         core.ended(1_020.0, 7, 1, Outcome::Reset, 0.0, None);
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -3,8 +3,8 @@
 //! any two steps; an end that is not told, put in on purpose, is found and healed.
 
 use crate::facade::{
-    Class, CounterReply, Facade, Group, Intake, Outcome, Plan, RegionEntry, RegionState, Repeat, RequestKey,
-    RoutedTask, ServiceTable, Settings,
+    Class, CounterReply, DedupScope, Facade, Intake, Outcome, Plan, RegionEntry, RegionState, RequestKey,
+    RetrySafety, RoutedTask, ServiceTable, Settings,
 };
 use crate::ledger::{Difference, Whose};
 use crate::life::{Answer, Core, Ports};
@@ -14,8 +14,8 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-const CLASSES: [(&str, Repeat); 3] =
-    [("safe", Repeat::Repeatable), ("keyed", Repeat::ByKey), ("once", Repeat::Once)];
+const CLASSES: [(&str, RetrySafety); 3] =
+    [("safe", RetrySafety::Idempotent), ("keyed", RetrySafety::Keyed), ("once", RetrySafety::AtMostOnce)];
 const PLANS: [&str; 3] = ["quota", "few", "free"];
 const REGIONS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const PATIENCE_MS: f64 = 1_200.0;
@@ -36,7 +36,7 @@
 }
 
 /// A request: its number, its class and the most attempts when it came; open requests keep the rules they came under.
-type Content = (RequestKey, Repeat, usize);
+type Content = (RequestKey, RetrySafety, usize);
 
 impl Ports for Wire {
     type Content = Content;
@@ -44,18 +44,21 @@
 
     fn route(&mut self, task: &RoutedTask, (key, repeat, most): &Content, limit_ms: f64) {
         let beside = self.out.iter().filter(|(request, _)| request == key).count();
-        assert!(beside == 0 || (self.copies && *repeat != Repeat::Once), "a copy that is not allowed");
+        assert!(
+            beside == 0 || (self.copies && *repeat != RetrySafety::AtMostOnce),
+            "a copy that is not allowed"
+        );
         assert!(beside <= 1, "more than one copy");
         self.copied += beside;
         let most = self.most_attempts.max(*most);
         assert!(task.attempt < most, "attempt {} of {most}", task.attempt);
         assert!(limit_ms > 0.0 && !self.answers.contains_key(key), "sent in vain");
         let ran = self.ran.entry(*key).or_default();
-        assert!(ran.is_empty() || *repeat != Repeat::Once, "run twice");
+        assert!(ran.is_empty() || *repeat != RetrySafety::AtMostOnce, "run twice");
         // Regions of one pod group are neighbours in the list: a and b, c and d.
         let group = |uid: &str| REGIONS.iter().position(|region| *region == uid).map(|at| at / 2);
         let home = ran.iter().all(|first| group(first) == group(&task.region));
-        assert!(*repeat != Repeat::ByKey || home, "a keyed repeat outside its pod group");
+        assert!(*repeat != RetrySafety::Keyed || home, "a keyed repeat outside its pod group");
         ran.push(task.region.clone());
         self.tasks.insert((*key, task.attempt), task.region.clone());
         assert!(self.out.insert((*key, task.attempt)), "one attempt twice");
@@ -77,12 +80,12 @@
 }
 
 fn settings(copies: bool, cancel: bool, most_attempts: usize) -> Settings {
-    let class = |(name, repeat): &(&str, Repeat)| Class {
+    let class = |(name, repeat): &(&str, RetrySafety)| Class {
         name: (*name).into(),
-        aim_ms: 400.0,
-        give_up_ms: PATIENCE_MS,
-        repeat: *repeat,
-        group: Group::Cell,
+        target_latency_ms: 400.0,
+        client_timeout_ms: PATIENCE_MS,
+        retry_safety: *repeat,
+        dedup_scope: DedupScope::Cell,
         key_ttl_ms: 900.0,
         late_share: 0.2,
         stream: false,
@@ -92,20 +95,20 @@
         name: name.into(),
         rate: if name == "quota" { 20.0 } else { 0.0 },
         burst: if name == "quota" { 30.0 } else { 0.0 },
-        at_once: if name == "few" { 3.0 } else { 0.0 },
+        max_concurrent: if name == "few" { 3.0 } else { 0.0 },
         ..Plan::default()
     };
     Settings {
-        siblings: 2,
+        gateway_count: 2,
         step_ms: 2.0,
         classes: CLASSES.iter().map(class).collect(),
         plans: PLANS.iter().map(|name| plan(name)).collect(),
-        counter: true,
+        counter_enabled: true,
         counter_timeout_ms: 30.0,
-        units_top: 4.0,
-        settles: true,
+        max_request_units: 4.0,
+        settles_units: true,
         max_attempts: most_attempts,
-        second_copies: copies,
+        hedging: copies,
         may_cancel: cancel,
         ..Settings::default()
     }
--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -11,18 +11,18 @@
 
 /// How often a request of a class may take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Safe to run any number of times.
-    Repeatable,
+    Idempotent,
     /// Carries a key: servers of one group drop repeats for a while.
-    ByKey,
+    Keyed,
     /// Must never run twice.
-    Once,
+    AtMostOnce,
 }
 
 /// Which servers drop a repeat of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -37,13 +37,13 @@
     /// Name as requests carry it.
     pub name: String,
     /// Full worth is earned within this time, ms.
-    pub aim_ms: f64,
+    pub target_latency_ms: f64,
     /// The client's whole wait over all its tries, ms.
-    pub give_up_ms: f64,
+    pub client_timeout_ms: f64,
     /// Whether a request may run again.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Who drops repeats of a keyed request.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// How long repeats are dropped, from the first send that may have run, ms.
     pub key_ttl_ms: f64,
     /// Share of the worth earned after the aim.
@@ -64,13 +64,13 @@
     /// Units that the store holds at most.
     pub burst: f64,
     /// Attempts out at once; 0: no such quota.
-    pub at_once: f64,
+    pub max_concurrent: f64,
     /// Worth factor of the plan.
-    pub price: f64,
+    pub worth_factor: f64,
     /// Share of its worth that a request beyond the quota earns.
     pub excess_worth: f64,
     /// Share of its worth that a request beyond the quota costs.
-    pub over_cost: f64,
+    pub excess_cost: f64,
     /// Units a second of the hard ceiling; 0: none.
     pub ceiling_rate: f64,
     /// Units that the ceiling's store holds at most.
@@ -86,10 +86,10 @@
             name: String::new(),
             rate: 0.0,
             burst: 0.0,
-            at_once: 0.0,
-            price: 1.0,
+            max_concurrent: 0.0,
+            worth_factor: 1.0,
             excess_worth: 0.0,
-            over_cost: 1.0,
+            excess_cost: 1.0,
             ceiling_rate: 0.0,
             ceiling_burst: 0.0,
             ceiling_slack: 0.0,
@@ -101,27 +101,27 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// This limiter's number among its siblings, from 0.
-    pub me: usize,
+    pub gateway_index: usize,
     /// How many limiters there are.
-    pub siblings: usize,
+    pub gateway_count: usize,
     /// This limiter's zone.
     pub zone: String,
     /// Shortest time between two rounds of events, ms.
     pub step_ms: f64,
     /// Fewest servers to choose among where so many run; 0: the module's own bound.
-    pub subset_least: f64,
+    pub min_subset: f64,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Plans.
     pub plans: Vec<Plan>,
     /// The counter service may be called.
-    pub counter: bool,
+    pub counter_enabled: bool,
     /// A counter call without an answer by then counts as timed out, ms.
     pub counter_timeout_ms: f64,
     /// Requests name a guess of their units; the answer tells the true ones.
-    pub settles: bool,
+    pub settles_units: bool,
     /// Most units of one request.
-    pub units_top: f64,
+    pub max_request_units: f64,
     /// The server list must be subscribed to.
     pub subscribe: bool,
     /// Attempts may be cancelled.
@@ -137,21 +137,21 @@
     /// Servers may be probed.
     pub probing: bool,
     /// Two attempts of one request may be out at the same time.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Points for one probe a request.
     pub probe_fee: f64,
     /// Points for every attempt crossing zones.
     pub cross_zone_fee: f64,
     /// A server starts with no less than this share of its capacity.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// A server is warm no later than this after its start, ms.
-    pub cold_ms: f64,
+    pub warmup_ms: f64,
     /// Sends to a drained server must end within this time, ms.
     pub drain_grace_ms: f64,
     /// A cold server falls when sent this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, ms.
-    pub fall_ms: f64,
+    pub overload_ms: f64,
     /// A final answer may come this long after the client's deadline, ms.
     pub answer_grace_ms: f64,
 }
@@ -163,8 +163,8 @@
     Up,
     /// Completes its work; takes nothing new.
     Draining,
-    /// Removed.
-    Gone,
+    /// No longer in the list.
+    Removed,
 }
 
 /// One entry of the server list.
@@ -181,12 +181,12 @@
     /// Stated size for comparison with other servers.
     pub weight: f64,
     /// When it last started; 0: long ago.
-    pub launched: f64,
+    pub started_at_ms: f64,
     /// How near it is, 0 for the nearest: nearer ones are chosen first. The simulator's wire knows of none.
-    pub near: u8,
+    pub distance: u8,
     /// Its place among equally near ones in this limiter's own order: lower ones are chosen first, and equal ones by
     /// the limiter's number. The simulator's wire knows of none.
-    pub order: f64,
+    pub rank: f64,
 }
 
 /// What a list of servers is.
@@ -197,7 +197,7 @@
     /// The complete list.
     Full,
     /// The complete list as last held, possibly stale.
-    Saved,
+    Cached,
     /// A call to the list failed or the subscription broke.
     Failed,
 }
@@ -218,11 +218,11 @@
     /// The connection broke; it may have run.
     Reset,
     /// The answer can't be read: it has run, and that tells nothing of the server.
-    Spoilt,
+    Unreadable,
     /// Cancelled; it may have run.
     Canceled,
     /// Never sent.
-    Ignored,
+    NotSent,
 }
 
 /// A request as it arrives.
@@ -237,11 +237,11 @@
     /// Its customer.
     pub customer: u64,
     /// Time until the client gives this try up, ms.
-    pub patience_ms: f64,
+    pub timeout_ms: f64,
     /// Units drawn from the quota.
     pub units: f64,
     /// How many limiters the customer's requests come in through.
-    pub doors: usize,
+    pub gateways: usize,
     /// A client's repeat, where clients mark it.
     pub retry: bool,
 }
@@ -258,11 +258,11 @@
     /// How it ended.
     pub status: Status,
     /// True units, where they are settled afterwards; 0: none told.
-    pub settled: f64,
+    pub settled_units: f64,
     /// Time since it was sent, ms.
     pub latency_ms: f64,
     /// The request has had its final answer.
-    pub closed: bool,
+    pub request_closed: bool,
     /// The server's load report, by name of its figure.
     pub load: BTreeMap<String, f64>,
 }
@@ -275,19 +275,19 @@
     /// A request arrived.
     Request(Arrival),
     /// A streamed answer has started.
-    Started(RequestId, usize),
+    StreamStarted(RequestId, usize),
     /// An attempt ended.
     Outcome(Outcome),
     /// The client left, or its final answer is overdue.
-    Gone(RequestId),
+    Abandoned(RequestId),
     /// A timer set by this limiter is due.
     Timer(String),
     /// A probe ended: server, status, latency in ms.
     Probed(ServerId, Status, f64),
     /// A counter call ended: name, status, total after the call.
-    Counted(String, Status, f64),
+    CountReply(String, Status, f64),
     /// A counter call that had timed out was answered after all: name, and the total after it (`None`: never).
-    Late(String, Option<f64>),
+    LateCount(String, Option<f64>),
     /// A message of another limiter; this module sends none and reads none.
     Peer(usize, Vec<u8>),
 }
@@ -306,27 +306,27 @@
     /// Test a server.
     Probe(ServerId),
     /// Subscribe to the server list.
-    Watch,
+    SubscribeServers,
     /// Ask for the whole server list once.
-    FetchList,
+    FetchServers,
     /// Add an amount to a named count: name, amount, life of a new name in ms.
-    Count(String, f64, f64),
+    IncrementCounter(String, f64, f64),
     /// Ask for a timer: token, delay in ms.
     Timer(String, f64),
     /// Close idle connections to a server.
-    Close(ServerId),
+    CloseIdle(ServerId),
     /// A line for the operators.
     Log(String),
 }
 
 /// Settings that no limiter can work with, by the key at fault.
 #[derive(Debug, Clone, PartialEq)]
-pub struct BadSettings(pub &'static str);
+pub struct InvalidSettings(pub &'static str);
 
-impl std::fmt::Display for BadSettings {
+impl std::fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "impossible setting: {}", self.0)
     }
 }
 
-impl std::error::Error for BadSettings {}
+impl std::error::Error for InvalidSettings {}
--- a/crates/decide/src/attempt_counts.rs
+++ b/crates/decide/src/attempt_counts.rs
@@ -12,29 +12,29 @@
     }
 
     /// Servers with attempts out, and how many by the count that the choice goes by.
-    pub fn out_by_server(&self) -> impl Iterator<Item = (&str, usize)> {
+    pub fn attempts_by_server(&self) -> impl Iterator<Item = (&str, usize)> {
         let out = self.servers.iter().filter(|(_, server)| server.out > 0.0);
         out.map(|(id, server)| (id.as_str(), server.out as usize))
     }
 
     /// Customers with attempts out, and how many by the count that caps on open attempts go by.
-    pub fn out_by_customer(&self) -> impl Iterator<Item = (u64, usize)> + '_ {
+    pub fn attempts_by_customer(&self) -> impl Iterator<Item = (u64, usize)> + '_ {
         let out = self.accounts.iter().filter(|(_, account)| account.open > 0.0);
         out.map(|(customer, account)| (*customer, account.open as usize))
     }
 
     /// Customers that something is kept of.
-    pub fn customers(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.accounts.len()
     }
 
     /// Puts the count of a server right.
-    pub fn set_out_at(&mut self, server: &str, out: usize) {
+    pub fn set_attempts_at_server(&mut self, server: &str, out: usize) {
         self.servers.get_mut(server).into_iter().for_each(|server| server.out = out as f64);
     }
 
     /// Puts the count of a customer right.
-    pub fn set_out_of(&mut self, customer: u64, out: usize) {
+    pub fn set_attempts_of_customer(&mut self, customer: u64, out: usize) {
         self.accounts.get_mut(&customer).into_iter().for_each(|account| account.open = out as f64);
     }
 }
--- a/crates/decide/src/bin/nickeljunction-simhost.rs
+++ b/crates/decide/src/bin/nickeljunction-simhost.rs
@@ -4,7 +4,7 @@
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use nickeljunction_decide::api::{Action, Event, ServerEntry, Settings};
 use nickeljunction_decide::decide::Limiter;
-use nickeljunction_decide::wire::{one_line, print_action, Line, WireError};
+use nickeljunction_decide::wire::{one_line, write_action, Line, WireError};
 use nickeljunction_fleet::{Config, Fleet, Place};
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -41,35 +41,35 @@
         if let Some((sheet, left)) = self.filling {
             if line.name != "ITEM" {
                 let why = format!("{left} entries still to come, found {}", line.name);
-                return Err(WireError { field: "Members".into(), why });
+                return Err(WireError { field: "Members".into(), reason: why });
             }
-            self.sheets.entry(sheet).or_default().push(line.entry()?);
+            self.sheets.entry(sheet).or_default().push(line.server_entry()?);
             self.filling = (left > 1).then_some((sheet, left - 1));
             return Ok(false);
         }
         match line.name {
-            "FRAME" => (self.now, self.turn) = line.frame()?,
-            "CONTEXT" => self.instance = line.whole("LimiterId")?,
+            "FRAME" => (self.now, self.turn) = line.batch_header()?,
+            "CONTEXT" => self.instance = line.integer("LimiterId")?,
             "SHEET" => {
-                let (sheet, entries) = (line.whole("Ref")?, line.whole("Members")?);
+                let (sheet, entries) = (line.integer("Ref")?, line.integer("Members")?);
                 self.sheets.insert(sheet, Vec::new());
                 self.filling = (entries > 0).then_some((sheet, entries));
             }
             "SYNC" => {
-                let (kind, sheet) = line.sync()?;
+                let (kind, sheet) = line.server_list_update()?;
                 let entries = match sheet {
                     None => Vec::new(),
                     Some(sheet) => self.sheets.get(&sheet).cloned().ok_or_else(|| WireError {
                         field: "Ref".into(),
-                        why: format!("no list {sheet} was given"),
+                        reason: format!("no list {sheet} was given"),
                     })?,
                 };
                 self.event(Event::Servers(kind, entries));
             }
             "OPEN_INSTANCE" => {
-                let (seed, settings) = line.open()?;
+                let (seed, settings) = line.open_instance()?;
                 let limiter = Limiter::new(settings, seed)
-                    .map_err(|why| WireError { field: "Env".into(), why: why.to_string() })?;
+                    .map_err(|why| WireError { field: "Env".into(), reason: why.to_string() })?;
                 let mail_per_s = line.number_or("Extra.MailPerS", 0.0)?;
                 if self.views && mail_per_s > 0.0 {
                     self.open_view(limiter.settings(), mail_per_s, seed)?;
@@ -102,10 +102,10 @@
             address: None,
             zone: String::new(),
         };
-        let roster = (0..settings.siblings).map(place).collect();
-        let config = Config { me: settings.me as u16, roster, mail_per_s, epoch: 0, seed };
+        let roster = (0..settings.gateway_count).map(place).collect();
+        let config = Config { me: settings.gateway_index as u16, roster, mail_per_s, epoch: 0, seed };
         let fleet = Fleet::new(config, CLOCK_AT + self.now)
-            .map_err(|why| WireError { field: "Siblings".into(), why: why.to_string() })?;
+            .map_err(|why| WireError { field: "Siblings".into(), reason: why.to_string() })?;
         self.fleets.insert(self.instance, fleet);
         self.tell_view(true);
         Ok(())
@@ -161,7 +161,7 @@
         }
         self.speak();
         for action in self.actions.drain(..) {
-            print_action(&action, &mut self.reply);
+            write_action(&action, &mut self.reply);
         }
         if let Err(panic) = run {
             self.reply.push_str(&format!("FATAL\tWhat={}\n", one_line(&panic_text(&*panic))));
--- a/crates/decide/src/decide/admission.rs
+++ b/crates/decide/src/decide/admission.rs
@@ -17,11 +17,12 @@
         let (plan, units) = (&settings.plans[plan_at], arrival.units.max(0.0));
         // The aim counts from the client's first try: a later one comes with part of it gone.
         let marked = settings.marks_retry.then_some(arrival.retry);
-        let age = self.usual[class].age(&settings.classes[class], arrival.patience_ms, marked);
+        let age = self.usual[class].age(&settings.classes[class], arrival.timeout_ms, marked);
         // Units that are settled afterwards follow the work: without this each large request passed for a
         // slow server and a late fleet, and a gateway among many has few samples to put that right.
-        let size = if settings.settles { units.max(1.0) } else { 1.0 };
-        let (aim, least) = (settings.classes[class].aim_ms - age, 0.5 * size * self.latency[class].mean);
+        let size = if settings.settles_units { units.max(1.0) } else { 1.0 };
+        let (aim, least) =
+            (settings.classes[class].target_latency_ms - age, 0.5 * size * self.latency[class].mean);
         let late = (f64::INFINITY, settings.classes[class].late_share);
         let (aim, share) = if aim > least { (aim, 1.0) } else { late };
         let mut request = Request {
@@ -29,9 +30,9 @@
             customer: arrival.customer,
             units,
             arrived: now,
-            due: now + arrival.patience_ms,
-            aim_at: now + aim.min(arrival.patience_ms),
-            value: settings.classes[class].worth * plan.price * units * share,
+            due: now + arrival.timeout_ms,
+            aim_at: now + aim.min(arrival.timeout_ms),
+            value: settings.classes[class].worth * plan.worth_factor * units * share,
             size,
             ..Request::default()
         };
@@ -42,21 +43,21 @@
         // Worth nothing any more (by a mark: else its age is a guess, and a hasty first try would do),
         // or too short for any server or for the next sweep, which would answer late.
         let least = least.max(self.settings.step_ms * CALM_STEPS);
-        let hopeless = arrival.patience_ms < least || share <= 0.0 && marked.is_some();
+        let hopeless = arrival.timeout_ms < least || share <= 0.0 && marked.is_some();
         if hopeless || self.rng.f64() > self.admit.powf(self.worth / worth.max(1e-9)) {
             self.requests.insert(id.clone(), request);
             return self.refuse(&id, self.settings.max_retry_after_ms);
         }
         self.requests.insert(id.clone(), request);
-        let doors = (arrival.doors.max(1) as f64).min(settings.siblings.max(1) as f64);
+        let doors = (arrival.gateways.max(1) as f64).min(settings.gateway_count.max(1) as f64);
         let account = self.accounts.entry(arrival.customer).or_insert_with(|| {
             // Golden-ratio shift by number: a plan's customers must not all change windows at one moment.
             let shift = (arrival.customer as f64 * 0.618_033_988_75).fract();
-            let pool = Pool::new(plan, shift, doors, settings.units_top.max(1.0));
+            let pool = Pool::new(plan, shift, doors, settings.max_request_units.max(1.0));
             let pool = pool.map(|pool| Pool { plan: plan_at, ..pool });
-            Account { pool, doors, at_once: plan.at_once, seen: now, ..Account::default() }
+            Account { pool, doors, at_once: plan.max_concurrent, seen: now, ..Account::default() }
         });
-        (account.seen, account.at_once) = (now, plan.at_once);
+        (account.seen, account.at_once) = (now, plan.max_concurrent);
         account.waiters.push_back(id);
         self.serve(arrival.customer);
     }
--- a/crates/decide/src/decide/choice.rs
+++ b/crates/decide/src/decide/choice.rs
@@ -18,15 +18,15 @@
     pub(super) fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         let now = self.now;
         if kind == ListKind::Failed {
-            self.out.push(Action::Watch);
+            self.out.push(Action::SubscribeServers);
             return;
         }
         if kind != ListKind::Incremental {
             self.servers.values_mut().for_each(|server| server.up = false);
         }
         for entry in entries {
-            let warm = entry.launched <= 0.0 || now - entry.launched >= self.settings.cold_ms;
-            let cold_since = if warm { f64::NEG_INFINITY } else { entry.launched };
+            let warm = entry.started_at_ms <= 0.0 || now - entry.started_at_ms >= self.settings.warmup_ms;
+            let cold_since = if warm { f64::NEG_INFINITY } else { entry.started_at_ms };
             let server = self.servers.entry(entry.server).or_insert_with(|| Server::new(now, FIRST_LIMIT));
             if cold_since > server.cold_since {
                 // A restarted process: what was learned of the old one says nothing of it. Hundreds of
@@ -36,12 +36,12 @@
             }
             server.up = entry.state == ServerState::Up;
             (server.zone, server.cell, server.weight) = (entry.zone, entry.cell, entry.weight.max(1e-3));
-            (server.near, server.order) = (entry.near, entry.order);
+            (server.near, server.order) = (entry.distance, entry.rank);
         }
         self.servers.retain(|_, server| server.up || server.out > 0.0);
         // Gateways in turn begin at different ranks of the ids in order, so that every server has as many.
         self.ring = self.servers.iter().filter(|(_, server)| server.up).map(|(id, _)| id.clone()).collect();
-        let first = (self.settings.me as f64 * 0.618_033_988_75).fract() * self.ring.len() as f64;
+        let first = (self.settings.gateway_index as f64 * 0.618_033_988_75).fract() * self.ring.len() as f64;
         self.ring.rotate_left(first as usize);
         // Far ones serve where those nearer by are too few for the subset; among equals the turn stays.
         let place = |id: &ServerId| (self.servers[id].near, self.servers[id].order);
@@ -53,18 +53,19 @@
     fn pick(&mut self, id: &RequestId) -> Option<ServerId> {
         let (now, mean, request) = (self.now, self.mean_latency(), &self.requests[id]);
         let class = &self.settings.classes[request.class];
-        let once = class.repeat == Repeat::Once;
+        let once = class.retry_safety == RetrySafety::AtMostOnce;
         // A keyed request that may have run goes only where its repeat is dropped.
-        let keyed =
-            request.first_run().filter(|_| class.repeat == Repeat::ByKey && class.group != Group::All);
+        let keyed = request
+            .first_run()
+            .filter(|_| class.retry_safety == RetrySafety::Keyed && class.dedup_scope != DedupScope::All);
         let home = keyed.map(|run| self.servers.get(&run.server).map(|home| (home.zone.clone(), home.cell)));
-        let aims = self.settings.classes.iter().map(|class| class.aim_ms).sum::<f64>();
+        let aims = self.settings.classes.iter().map(|class| class.target_latency_ms).sum::<f64>();
         let span = SUBSET_AIMS * aims / self.settings.classes.len() as f64;
-        let least = SUBSET_LEAST.max(self.settings.subset_least);
+        let least = SUBSET_LEAST.max(self.settings.min_subset);
         let subset = (self.sends / RATE_SPAN_MS * span).ceil().max(least).min(self.ring.len() as f64);
         let share = self.sends / RATE_SPAN_MS / subset.max(1.0);
         // Only a request that can be repeated tests a server that is set aside.
-        let tester = !once && self.settings.second_copies && request.attempts.is_empty();
+        let tester = !once && self.settings.hedging && request.attempts.is_empty();
         let prober = request.attempts.is_empty() && self.rng.f64() < PATH_TESTS;
         let (mut best, mut met): (Option<(f64, &ServerId)>, f64) = (None, 0.0);
         for name in &self.ring {
@@ -74,8 +75,8 @@
             }
             let Some(server) = self.servers.get_mut(name).filter(|server| server.up) else { continue };
             met += if server.aside > 0.0 { 0.0 } else { 1.0 };
-            let stranger = home.as_ref().is_some_and(|home| match (class.group, home) {
-                (Group::Zone, Some((zone, _))) => *zone != server.zone,
+            let stranger = home.as_ref().is_some_and(|home| match (class.dedup_scope, home) {
+                (DedupScope::Zone, Some((zone, _))) => *zone != server.zone,
                 (_, Some((_, cell))) => *cell != server.cell,
                 (_, None) => true,
             });
--- a/crates/decide/src/decide/health.rs
+++ b/crates/decide/src/decide/health.rs
@@ -79,7 +79,7 @@
         if status == Status::ConnectError {
             return self.lost_path(&outcome.server);
         }
-        if status == Status::Spoilt {
+        if status == Status::Unreadable {
             // Any server's answers arrive spoilt alike: it is alive, and no slower or worse than the others.
             server.heard = now;
             return;
@@ -101,7 +101,7 @@
                 self.size.add(size, CLASS_GAIN);
             }
         }
-        let aim = self.settings.classes[request.class].aim_ms;
+        let aim = self.settings.classes[request.class].target_latency_ms;
         let late = outcome.latency_ms / (LATE_AT * aim * size / self.size.mean);
         if status == Status::QueueFull || server.aside == 0.0 && late > 1.0 && !bad {
             let by =
--- a/crates/decide/src/decide/leases.rs
+++ b/crates/decide/src/decide/leases.rs
@@ -189,7 +189,7 @@
     fn cover(&mut self, customer: u64, pool: &mut Pool, units: f64, need: f64, stake: f64) -> Cover {
         let lacking = units - pool.held - pool.room(self.now);
         let pause = lacking.max(0.0) / pool.rate;
-        let blind = std::mem::take(&mut pool.unanswered) || self.silent || !self.settings.counter;
+        let blind = std::mem::take(&mut pool.unanswered) || self.silent || !self.settings.counter_enabled;
         if pool.flight.is_some() && !blind {
             return Cover::Wait;
         }
@@ -198,7 +198,7 @@
         let chosen = self.rng.f64() < odds;
         // Trust pays while so many fetches of the customer fit and the fleet has room; a client's repeat was
         // mostly refused for cause.
-        let over_cost = self.settings.plans[pool.plan].over_cost;
+        let over_cost = self.settings.plans[pool.plan].excess_cost;
         let trust = pool.trust(self.now, self.trust[pool.plan]);
         let room = self.admit.powf(1.0 / (1.0 + self.eased));
         // A store known to have room speaks for itself, whoever asks; through many doors not for long.
@@ -254,7 +254,7 @@
 
     /// Calls the counter for a pool, one call at a time for each name.
     pub(super) fn ask(&mut self, customer: u64, pool: &mut Pool, take: f64, unseen: f64) {
-        if !self.settings.counter || pool.flight.is_some() {
+        if !self.settings.counter_enabled || pool.flight.is_some() {
             return;
         }
         let mut flight =
@@ -266,7 +266,7 @@
         }
         let (name, amount) = (format!("{customer}.{}", pool.window), flight.amount());
         pool.flight = Some(flight);
-        self.out.push(Action::Count(name, amount, NAME_LIFE_MS));
+        self.out.push(Action::IncrementCounter(name, amount, NAME_LIFE_MS));
     }
 
     pub(super) fn counted(&mut self, name: &str, status: Status, total: f64) {
@@ -330,7 +330,8 @@
                 pool.roll(now);
                 let idle = now - pool.used_at > GIVE_BACK * pool.span;
                 // Nobody lacks what lies idle while the store is half full: handing it back only crowds.
-                if idle && pool.held > 0.0 && pool.room(now) < pool.cap / 2.0 && self.settings.counter {
+                if idle && pool.held > 0.0 && pool.room(now) < pool.cap / 2.0 && self.settings.counter_enabled
+                {
                     pool.fix -= pool.held;
                     pool.held = 0.0;
                 }
--- a/crates/decide/src/decide/mod.rs
+++ b/crates/decide/src/decide/mod.rs
@@ -39,27 +39,31 @@
 
 impl Limiter {
     /// A limiter that knows nothing yet but its settings.
-    pub fn new(settings: Settings, seed: u64) -> Result<Limiter, BadSettings> {
+    pub fn new(settings: Settings, seed: u64) -> Result<Limiter, InvalidSettings> {
         let store = |rate: f64, burst: f64| rate == 0.0 || (rate > 0.0 && burst > 0.0);
+        let (classes, plans) = (&settings.classes, &settings.plans);
         let checks = [
-            (settings.plans.iter().all(|p| store(p.rate, p.burst)), "a plan's rate needs a burst"),
+            (plans.iter().all(|plan| store(plan.rate, plan.burst)), "a plan's rate needs a burst"),
             (
-                settings.plans.iter().all(|p| store(p.ceiling_rate, p.ceiling_burst)),
+                plans.iter().all(|plan| store(plan.ceiling_rate, plan.ceiling_burst)),
                 "a ceiling needs a burst",
             ),
-            (settings.classes.iter().all(|class| class.aim_ms > 0.0), "a class needs an aim above 0"),
+            (classes.iter().all(|class| class.target_latency_ms > 0.0), "a class needs an aim above 0"),
             (settings.step_ms > 0.0, "the step must be above 0"),
             (settings.max_attempts > 0, "the most attempts must be above 0"),
-            (settings.me < settings.siblings, "me must be under siblings: the number of gateways"),
+            (
+                settings.gateway_index < settings.gateway_count,
+                "me must be under siblings: the number of gateways",
+            ),
         ];
         if let Some((_, why)) = checks.into_iter().find(|(fine, _)| !fine) {
-            return Err(BadSettings(why));
+            return Err(InvalidSettings(why));
         }
-        let guesses: Vec<f64> = settings.classes.iter().map(|class| class.aim_ms * FIRST_GUESS).collect();
+        let guesses: Vec<f64> = classes.iter().map(|class| class.target_latency_ms * FIRST_GUESS).collect();
         Ok(Limiter {
             rng: fastrand::Rng::with_seed(seed),
             trust: vec![1.0; settings.plans.len()],
-            unseen: 1.0 - (FEW / settings.siblings.max(1) as f64).min(1.0),
+            unseen: 1.0 - (FEW / settings.gateway_count.max(1) as f64).min(1.0),
             latency: guesses.iter().map(|guess| Average::of(*guess)).collect(),
             calm: guesses,
             usual: vec![crate::retry_age::Usual::default(); settings.classes.len()],
@@ -78,25 +82,27 @@
         if !std::mem::replace(&mut self.swept, true) {
             self.out.push(Action::Timer("sweep".into(), self.settings.step_ms * SWEEP_STEPS));
             if self.settings.subscribe {
-                self.out.push(Action::Watch);
+                self.out.push(Action::SubscribeServers);
             }
         }
         match event {
             Event::Servers(kind, entries) => self.list(kind, entries),
             Event::Request(arrival) => self.arrive(arrival),
-            Event::Started(id, _) => self.requests.get_mut(&id).into_iter().for_each(|r| r.streaming = true),
+            Event::StreamStarted(id, _) => {
+                self.requests.get_mut(&id).into_iter().for_each(|r| r.streaming = true)
+            }
             Event::Outcome(outcome) => self.outcome(outcome),
-            Event::Gone(id) => self.end(&id),
+            Event::Abandoned(id) => self.end(&id),
             Event::Timer(token) if token == "sweep" => self.sweep(),
-            Event::Counted(name, status, total) => self.counted(&name, status, total),
-            Event::Late(name, total) => self.counted_late(&name, total),
+            Event::CountReply(name, status, total) => self.counted(&name, status, total),
+            Event::LateCount(name, total) => self.counted_late(&name, total),
             Event::Timer(_) | Event::Probed(..) | Event::Peer(..) => {}
         }
         out.append(&mut self.out);
     }
 
     /// The gateway stops: what its batches hold, and what is still to be put right, goes to the counter.
-    pub fn retire(&mut self, now: f64, out: &mut Vec<Action>) {
+    pub fn shut_down(&mut self, now: f64, out: &mut Vec<Action>) {
         self.now = now;
         for customer in self.accounts.keys().copied().collect::<Vec<_>>() {
             let Some(mut account) = self.accounts.remove(&customer) else { continue };
@@ -113,7 +119,7 @@
     }
 
     /// Requests whose attempts or final answer are still owed.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
--- a/crates/decide/src/decide/repeats.rs
+++ b/crates/decide/src/decide/repeats.rs
@@ -15,7 +15,7 @@
         let request = &self.requests[id];
         let usual = self.usual(request);
         let left = request.aim_at - self.now - BOUND_SPARE * usual;
-        let repeats = self.settings.classes[request.class].repeat == Repeat::Repeatable;
+        let repeats = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
         let more = request.attempts.len() < self.settings.max_attempts && self.retries >= 1.0;
         if repeats && more && left >= BOUND_LEAST * usual && self.untried(id) {
             left
@@ -30,21 +30,21 @@
         let customer = request.customer;
         if let Some(attempt) = request.attempts.get_mut(outcome.attempt).filter(|attempt| attempt.open) {
             attempt.open = false;
-            let never = matches!(outcome.status, Status::QueueFull | Status::ConnectError | Status::Ignored);
+            let never = matches!(outcome.status, Status::QueueFull | Status::ConnectError | Status::NotSent);
             attempt.may_have_run = !never;
             let mut account = self.accounts.get_mut(&customer);
             if let Some(account) = account.as_mut() {
                 account.open = (account.open - 1.0).max(0.0);
             }
-            if outcome.settled > 0.0 && outcome.status == Status::Ok {
+            if outcome.settled_units > 0.0 && outcome.status == Status::Ok {
                 let pool = account.and_then(|account| account.pool.as_mut());
-                pool.into_iter().for_each(|pool| pool.owed += outcome.settled - request.units);
+                pool.into_iter().for_each(|pool| pool.owed += outcome.settled_units - request.units);
             }
         }
         let ended = request.stage == Stage::Ended;
         let usual = request.size * self.latency[request.class].mean;
         let cancel = !ended && self.settings.may_cancel;
-        if outcome.closed || ended {
+        if outcome.request_closed || ended {
             for (at, _) in request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.open && cancel) {
                 self.out.push(Action::Cancel(outcome.id.clone(), at));
             }
@@ -68,14 +68,14 @@
     fn untried(&self, id: &RequestId) -> bool {
         let request = &self.requests[id];
         let class = &self.settings.classes[request.class];
-        let run = request.first_run().filter(|_| class.repeat == Repeat::ByKey);
+        let run = request.first_run().filter(|_| class.retry_safety == RetrySafety::Keyed);
         let home = run.and_then(|run| self.servers.get(&run.server));
         self.ring.iter().any(|name| {
-            let fits = match (class.group, home, self.servers.get(name)) {
+            let fits = match (class.dedup_scope, home, self.servers.get(name)) {
                 (_, _, None) => false,
-                (Group::All, ..) | (_, None, _) => true,
-                (Group::Zone, Some(home), Some(server)) => home.zone == server.zone,
-                (Group::Cell, Some(home), Some(server)) => home.cell == server.cell,
+                (DedupScope::All, ..) | (_, None, _) => true,
+                (DedupScope::Zone, Some(home), Some(server)) => home.zone == server.zone,
+                (DedupScope::Cell, Some(home), Some(server)) => home.cell == server.cell,
             };
             fits && request.attempts.iter().all(|attempt| attempt.server != *name)
         })
@@ -85,11 +85,13 @@
     fn may_repeat(&self, id: &RequestId) -> bool {
         let request = &self.requests[id];
         let class = &self.settings.classes[request.class];
-        let allowed = match (class.repeat, request.first_run()) {
-            (_, None) | (Repeat::Repeatable, _) => true,
+        let allowed = match (class.retry_safety, request.first_run()) {
+            (_, None) | (RetrySafety::Idempotent, _) => true,
             // The group forgets the key: a margin of a step, since the send takes effect a little later.
-            (Repeat::ByKey, Some(first)) => self.now + self.settings.step_ms < first.sent + class.key_ttl_ms,
-            (Repeat::Once, Some(_)) => false,
+            (RetrySafety::Keyed, Some(first)) => {
+                self.now + self.settings.step_ms < first.sent + class.key_ttl_ms
+            }
+            (RetrySafety::AtMostOnce, Some(_)) => false,
         };
         allowed && request.attempts.len() < self.settings.max_attempts && self.now < request.due
     }
@@ -98,8 +100,8 @@
     pub(super) fn finish(&mut self, id: &RequestId) {
         let request = &self.requests[id];
         let class = &self.settings.classes[request.class];
-        let keyed = class.repeat == Repeat::ByKey && class.group == Group::All;
-        if class.repeat == Repeat::Repeatable || keyed || request.first_run().is_none() {
+        let keyed = class.retry_safety == RetrySafety::Keyed && class.dedup_scope == DedupScope::All;
+        if class.retry_safety == RetrySafety::Idempotent || keyed || request.first_run().is_none() {
             return self.refuse(id, self.settings.max_retry_after_ms);
         }
         self.out.push(Action::Fail(id.clone()));
@@ -110,7 +112,7 @@
     pub(super) fn hedge(&mut self, id: &RequestId) {
         let request = &self.requests[id];
         let (class, usual) = (&self.settings.classes[request.class], self.usual(request));
-        if class.repeat == Repeat::Once || !self.settings.second_copies || request.open() != 1 {
+        if class.retry_safety == RetrySafety::AtMostOnce || !self.settings.hedging || request.open() != 1 {
             return;
         }
         let Some(last) = request.attempts.iter().find(|attempt| attempt.open) else { return };
--- a/crates/decide/src/retry_age.rs
+++ b/crates/decide/src/retry_age.rs
@@ -29,12 +29,12 @@
             Some(retry) => retry,
             None => !self.usual(class, patience),
         };
-        if later { class.give_up_ms - patience } else { 0.0 }.max(0.0)
+        if later { class.client_timeout_ms - patience } else { 0.0 }.max(0.0)
     }
 
     /// Votes, and tells whether this is a first try's patience, for all that is known.
     fn usual(&mut self, class: &Class, patience: f64) -> bool {
-        let same = (patience - self.patience).abs() <= SLACK * class.give_up_ms;
+        let same = (patience - self.patience).abs() <= SLACK * class.client_timeout_ms;
         self.votes = (self.votes + if same { 2.0 } else { -1.0 }).min(VOTES_MOST);
         if self.votes < 0.0 {
             *self = Usual { patience, votes: 2.0 };
@@ -46,15 +46,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::api::{Group, Repeat};
+    use crate::api::{DedupScope, RetrySafety};
 
     fn class() -> Class {
         Class {
             name: "c".into(),
-            aim_ms: 1_000.0,
-            give_up_ms: 4_000.0,
-            repeat: Repeat::Repeatable,
-            group: Group::All,
+            target_latency_ms: 1_000.0,
+            client_timeout_ms: 4_000.0,
+            retry_safety: RetrySafety::Idempotent,
+            dedup_scope: DedupScope::All,
             key_ttl_ms: 0.0,
             late_share: 0.2,
             stream: false,
--- a/crates/decide/src/settings_update.rs
+++ b/crates/decide/src/settings_update.rs
@@ -8,13 +8,13 @@
 impl Limiter {
     /// Takes new figures: those of plans for windows that begin at `from` (ms) or later, negative infinity for all
     /// at once; the others at once. Classes keep their places, and plans theirs: new ones come last.
-    pub fn retune(&mut self, settings: Settings, from: f64) {
+    pub fn update_settings(&mut self, settings: Settings, from: f64) {
         let former = std::mem::replace(&mut self.settings, settings).plans;
         self.figures = Figures { former, from, changes: self.figures.changes + 1 };
         self.trust.resize(self.settings.plans.len(), 1.0);
         // Classes that come new begin with the guesses of a start; those of before keep what was learned.
         for class in &self.settings.classes[self.latency.len().min(self.settings.classes.len())..] {
-            let guess = class.aim_ms * FIRST_GUESS;
+            let guess = class.target_latency_ms * FIRST_GUESS;
             self.latency.push(Average::of(guess));
             self.calm.push(guess);
             self.usual.push(crate::retry_age::Usual::default());
@@ -27,13 +27,13 @@
     }
 
     /// Odds, 0 to 1, that a request of mean worth for its time is taken in: below 1 the fleet is thought short.
-    pub fn admission(&self) -> f64 {
+    pub fn admission_probability(&self) -> f64 {
         self.admit
     }
 
     /// Two attempts of a request may be out at once.
-    pub fn second_copies(&self) -> bool {
-        self.settings.second_copies
+    pub fn hedging(&self) -> bool {
+        self.settings.hedging
     }
 
     /// Rebuilds a pool whose window is judged by other figures than those it was made of. What it holds, owes and
@@ -47,7 +47,7 @@
         }
         let plans = if present { &self.settings.plans } else { &figures.former };
         let new = plans.get(pool.plan).and_then(|plan| {
-            Pool::new(plan, pool.phase / pool.length, pool.doors, self.settings.units_top.max(1.0))
+            Pool::new(plan, pool.phase / pool.length, pool.doors, self.settings.max_request_units.max(1.0))
         });
         let Some(new) = new else { return };
         pool.fitted = stamp;
--- a/crates/decide/src/wire.rs
+++ b/crates/decide/src/wire.rs
@@ -11,19 +11,19 @@
     /// The field that is missing or malformed.
     pub field: String,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
 impl std::fmt::Display for WireError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "field {}: {}", self.field, self.why)
+        write!(f, "field {}: {}", self.field, self.reason)
     }
 }
 
 impl std::error::Error for WireError {}
 
 fn error<T>(field: &str, why: impl Into<String>) -> Result<T, WireError> {
-    Err(WireError { field: field.to_string(), why: why.into() })
+    Err(WireError { field: field.to_string(), reason: why.into() })
 }
 
 /// A line: its name and its fields.
@@ -50,7 +50,7 @@
     }
 
     /// A line made of pairs that were read elsewhere: a gateway's settings come as nested JSON.
-    pub fn of(name: &'a str, pairs: &'a [(String, String)]) -> Self {
+    pub fn from_pairs(name: &'a str, pairs: &'a [(String, String)]) -> Self {
         let fields = pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
         Line { name, fields }
     }
@@ -81,14 +81,14 @@
     }
 
     /// A required whole number.
-    pub fn whole(&self, key: &str) -> Result<u64, WireError> {
+    pub fn integer(&self, key: &str) -> Result<u64, WireError> {
         let text = self.text(key)?;
         text.parse().or_else(|_| error(key, format!("'{text}' is not a whole number")))
     }
 
-    fn whole_or(&self, key: &str, default: u64) -> Result<u64, WireError> {
+    fn integer_or(&self, key: &str, default: u64) -> Result<u64, WireError> {
         if self.fields.contains_key(key) {
-            self.whole(key)
+            self.integer(key)
         } else {
             Ok(default)
         }
@@ -103,7 +103,7 @@
             "ConnectError" => Status::ConnectError,
             "ResetByPeer" => Status::Reset,
             "Canceled" => Status::Canceled,
-            "Ignored" => Status::Ignored,
+            "Ignored" => Status::NotSent,
             other => return error("Disposition", format!("unknown '{other}'")),
         })
     }
@@ -121,40 +121,40 @@
     }
 
     /// Clock (`WallMs`) and batch index (`turn`) of a `FRAME`.
-    pub fn frame(&self) -> Result<(f64, u64), WireError> {
-        Ok((self.number("WallMs")?, self.whole("turn")?))
+    pub fn batch_header(&self) -> Result<(f64, u64), WireError> {
+        Ok((self.number("WallMs")?, self.integer("turn")?))
     }
 
     /// An `ITEM` of a server list.
-    pub fn entry(&self) -> Result<ServerEntry, WireError> {
+    pub fn server_entry(&self) -> Result<ServerEntry, WireError> {
         let state = match self.text("Mode")? {
             "U" => ServerState::Up,
             "L" => ServerState::Draining,
-            "D" => ServerState::Gone,
+            "D" => ServerState::Removed,
             other => return error("Mode", format!("unknown '{other}'")),
         };
         Ok(ServerEntry {
             server: self.text("Server")?.to_string(),
             state,
             zone: self.fields.get("Az").copied().unwrap_or_default().to_string(),
-            cell: self.whole_or("Group", 0)?,
+            cell: self.integer_or("Group", 0)?,
             weight: self.number_or("Heft", 1.0)?,
-            launched: self.number_or("LaunchedMs", 0.0)?,
-            near: 0,
-            order: 0.0,
+            started_at_ms: self.number_or("LaunchedMs", 0.0)?,
+            distance: 0,
+            rank: 0.0,
         })
     }
 
     /// Kind and list number of a `SYNC`; a failed one names no list.
-    pub fn sync(&self) -> Result<(ListKind, Option<u64>), WireError> {
+    pub fn server_list_update(&self) -> Result<(ListKind, Option<u64>), WireError> {
         let kind = match self.text("Mode")? {
             "INCREMENTAL" => ListKind::Incremental,
             "FULL" => ListKind::Full,
-            "SAVED" => ListKind::Saved,
+            "SAVED" => ListKind::Cached,
             "FAILED" => return Ok((ListKind::Failed, None)),
             other => return error("Mode", format!("unknown '{other}'")),
         };
-        Ok((kind, Some(self.whole("Ref")?)))
+        Ok((kind, Some(self.integer("Ref")?)))
     }
 
     /// The event that a line stands for; `None` for a name this reader does not know.
@@ -164,24 +164,26 @@
                 id: self.text("Id")?.to_string(),
                 class: self.text("Class")?.to_string(),
                 plan: self.fields.get("Contract").copied().unwrap_or_default().to_string(),
-                customer: self.whole_or("Customer", 0)?,
-                patience_ms: self.number("PatienceLeftMs")?,
+                customer: self.integer_or("Customer", 0)?,
+                timeout_ms: self.number("PatienceLeftMs")?,
                 units: self.number_or("QuotaUnits", 1.0)?,
-                doors: self.whole_or("Doors", 1)? as usize,
+                gateways: self.integer_or("Doors", 1)? as usize,
                 retry: self.flag("IsRetry")?,
             }),
             "REPLY" => Event::Outcome(Outcome {
                 id: self.text("Id")?.to_string(),
-                attempt: self.whole_or("Go", 0)? as usize,
+                attempt: self.integer_or("Go", 0)? as usize,
                 server: self.text("Server")?.to_string(),
                 status: self.status()?,
-                settled: self.number_or("Settled", 0.0)?,
+                settled_units: self.number_or("Settled", 0.0)?,
                 latency_ms: self.number_or("DelaySeenMs", 0.0)?,
-                closed: self.flag("Last")?,
+                request_closed: self.flag("Last")?,
                 load: self.load()?,
             }),
-            "HEAD_RECEIVED" => Event::Started(self.text("Id")?.to_string(), self.whole_or("Go", 0)? as usize),
-            "LAPSED" => Event::Gone(self.text("Id")?.to_string()),
+            "HEAD_RECEIVED" => {
+                Event::StreamStarted(self.text("Id")?.to_string(), self.integer_or("Go", 0)? as usize)
+            }
+            "LAPSED" => Event::Abandoned(self.text("Id")?.to_string()),
             "TIMER" => Event::Timer(self.text("KeyBack")?.to_string()),
             "PROBE_RESULT" => Event::Probed(
                 self.text("Server")?.to_string(),
@@ -192,7 +194,7 @@
                 let status = self.status()?;
                 let sum =
                     if status == Status::Ok { self.number("Sum")? } else { self.number_or("Sum", 0.0)? };
-                Event::Counted(self.text("CounterKey")?.to_string(), status, sum)
+                Event::CountReply(self.text("CounterKey")?.to_string(), status, sum)
             }
             "PEER" => {
                 let text = self.text("Bytes")?;
@@ -200,14 +202,14 @@
                     "-" => Vec::new(),
                     text => STANDARD.decode(text).or_else(|why| error("Bytes", why.to_string()))?,
                 };
-                Event::Peer(self.whole("From")? as usize, bytes)
+                Event::Peer(self.integer("From")? as usize, bytes)
             }
             _ => return Ok(None),
         }))
     }
 
     /// Seed and settings of an `OPEN_INSTANCE`.
-    pub fn open(&self) -> Result<(u64, Settings), WireError> {
+    pub fn open_instance(&self) -> Result<(u64, Settings), WireError> {
         let seed = match self.text("Nonce64")?.parse::<i128>() {
             Ok(seed) => seed as u64,
             Err(why) => return error("Nonce64", why.to_string()),
@@ -215,7 +217,7 @@
         Ok((seed, self.settings()?))
     }
 
-    fn truth(&self, key: &str, default: bool) -> Result<bool, WireError> {
+    fn bool_or(&self, key: &str, default: bool) -> Result<bool, WireError> {
         match self.fields.get(key) {
             None => Ok(default),
             Some(&"true") | Some(&"1") => Ok(true),
@@ -224,33 +226,33 @@
         }
     }
 
-    fn word(&self, key: &str) -> String {
+    fn text_or_empty(&self, key: &str) -> String {
         self.fields.get(key).copied().unwrap_or_default().to_string()
     }
 
     fn class(&self, at: u64) -> Result<Class, WireError> {
         let key = |name: &str| format!("Classes.{at}.{name}");
         let repeat = match self.text(&key("Repeat"))? {
-            "repeatable" => Repeat::Repeatable,
-            "by_key" => Repeat::ByKey,
-            "once" => Repeat::Once,
+            "repeatable" => RetrySafety::Idempotent,
+            "by_key" => RetrySafety::Keyed,
+            "once" => RetrySafety::AtMostOnce,
             other => return error(&key("Repeat"), format!("unknown '{other}'")),
         };
         let group = match self.fields.get(key("Group").as_str()) {
-            None | Some(&"all") => Group::All,
-            Some(&"zone") => Group::Zone,
-            Some(&"cell") => Group::Cell,
+            None | Some(&"all") => DedupScope::All,
+            Some(&"zone") => DedupScope::Zone,
+            Some(&"cell") => DedupScope::Cell,
             Some(other) => return error(&key("Group"), format!("unknown '{other}'")),
         };
         Ok(Class {
             name: self.text(&key("Name"))?.to_string(),
-            aim_ms: self.number(&key("AimMs"))?,
-            give_up_ms: self.number(&key("GiveUpMs"))?,
-            repeat,
-            group,
+            target_latency_ms: self.number(&key("AimMs"))?,
+            client_timeout_ms: self.number(&key("GiveUpMs"))?,
+            retry_safety: repeat,
+            dedup_scope: group,
             key_ttl_ms: self.number_or(&key("KeyTtlMs"), 0.0)?,
             late_share: self.number_or(&key("LateShare"), 0.0)?,
-            stream: self.truth(&key("Stream"), false)?,
+            stream: self.bool_or(&key("Stream"), false)?,
             worth: self.number_or(&key("Worth"), 1.0)?,
         })
     }
@@ -262,10 +264,10 @@
             name: self.text(&key("Name"))?.to_string(),
             rate: number("Refill", 0.0)?,
             burst: number("PeakUnits", 0.0)?,
-            at_once: number("AtOnce", 0.0)?,
-            price: number("WorthFactor", 1.0)?,
+            max_concurrent: number("AtOnce", 0.0)?,
+            worth_factor: number("WorthFactor", 1.0)?,
             excess_worth: number("ExcessWorth", 0.0)?,
-            over_cost: number("OverCost", 0.0)?,
+            excess_cost: number("OverCost", 0.0)?,
             ceiling_rate: number("CeilingRate", 0.0)?,
             ceiling_burst: number("NeverOverDepth", 0.0)?,
             ceiling_slack: number("CeilingSlack", 0.0)?,
@@ -274,56 +276,56 @@
 
     /// The settings among the fields.
     pub fn settings(&self) -> Result<Settings, WireError> {
-        let classes = self.whole_or("Classes.count", 0)?;
-        let plans = self.whole_or("TiersOfService.count", 0)?;
+        let classes = self.integer_or("Classes.count", 0)?;
+        let plans = self.integer_or("TiersOfService.count", 0)?;
         Ok(Settings {
-            me: self.whole_or("Me", 0)? as usize,
-            siblings: self.whole_or("Siblings", 1)? as usize,
-            zone: self.word("Locality"),
+            gateway_index: self.integer_or("Me", 0)? as usize,
+            gateway_count: self.integer_or("Siblings", 1)? as usize,
+            zone: self.text_or_empty("Locality"),
             step_ms: self.number_or("StepMs", 1.0)?,
-            subset_least: self.number_or("SubsetLeast", 0.0)?,
+            min_subset: self.number_or("SubsetLeast", 0.0)?,
             classes: (0..classes).map(|at| self.class(at)).collect::<Result<_, _>>()?,
             plans: (0..plans).map(|at| self.plan(at)).collect::<Result<_, _>>()?,
-            counter: self.truth("Extra.Counter", false)?,
+            counter_enabled: self.bool_or("Extra.Counter", false)?,
             counter_timeout_ms: self.number_or("Extra.CounterTimeoutMs", 0.0)?,
-            settles: self.truth("Extra.Settles", false)?,
-            units_top: self.number_or("Extra.UnitsTop", 1.0)?,
-            subscribe: self.word("Discovery") == "subscribe",
-            may_cancel: self.truth("Permissions.MayCancel", false)?,
-            max_attempts: self.whole_or("Permissions.MaxAttempts", 1)? as usize,
+            settles_units: self.bool_or("Extra.Settles", false)?,
+            max_request_units: self.number_or("Extra.UnitsTop", 1.0)?,
+            subscribe: self.text_or_empty("Discovery") == "subscribe",
+            may_cancel: self.bool_or("Permissions.MayCancel", false)?,
+            max_attempts: self.integer_or("Permissions.MaxAttempts", 1)? as usize,
             max_retry_after_ms: self.number_or("Permissions.MaxRetryAfterMs", 0.0)?,
-            retry_after: self.truth("Permissions.RetryAfter", false)?,
-            marks_retry: self.truth("Clients.MarksRetry", false)?,
-            probing: self.truth("Permissions.Probing", false)?,
-            second_copies: self.truth("Permissions.SecondCopies", false)?,
+            retry_after: self.bool_or("Permissions.RetryAfter", false)?,
+            marks_retry: self.bool_or("Clients.MarksRetry", false)?,
+            probing: self.bool_or("Permissions.Probing", false)?,
+            hedging: self.bool_or("Permissions.SecondCopies", false)?,
             probe_fee: self.number_or("Tariffs.Probe", 0.0)?,
             cross_zone_fee: self.number_or("Tariffs.CrossZone", 0.0)?,
-            cold_from: self.number_or("Guarantees.ColdFrom", 1.0)?,
-            cold_ms: self.number_or("Guarantees.ColdMs", 0.0)?,
+            cold_start_share: self.number_or("Guarantees.ColdFrom", 1.0)?,
+            warmup_ms: self.number_or("Guarantees.ColdMs", 0.0)?,
             drain_grace_ms: self.number_or("Guarantees.DrainGraceMs", 0.0)?,
-            fall_multiple: self.number_or("Guarantees.FallMultiple", 1.0)?,
-            fall_ms: self.number_or("Guarantees.FallMs", 0.0)?,
+            overload_multiple: self.number_or("Guarantees.FallMultiple", 1.0)?,
+            overload_ms: self.number_or("Guarantees.FallMs", 0.0)?,
             answer_grace_ms: self.number_or("Guarantees.GraceToAnswerMs", 0.0)?,
         })
     }
 }
 
-/// Settings as the pairs that [`Line::of`] reads again, to the bit: figures are written so that they come back.
-pub fn settings_pairs(settings: &Settings) -> Vec<(String, String)> {
+/// Settings as the pairs that [`Line::from_pairs`] reads again, to the bit: figures are written so that they come back.
+pub fn settings_to_pairs(settings: &Settings) -> Vec<(String, String)> {
     let mut pairs: Vec<(String, String)> = Vec::new();
     let mut put = |key: &str, value: String| pairs.push((key.to_string(), value));
     let truth = |truth: bool| truth.to_string();
-    put("Me", settings.me.to_string());
-    put("Siblings", settings.siblings.to_string());
+    put("Me", settings.gateway_index.to_string());
+    put("Siblings", settings.gateway_count.to_string());
     put("Locality", settings.zone.clone());
     put("StepMs", settings.step_ms.to_string());
-    if settings.subset_least > 0.0 {
-        put("SubsetLeast", settings.subset_least.to_string());
+    if settings.min_subset > 0.0 {
+        put("SubsetLeast", settings.min_subset.to_string());
     }
-    put("Extra.Counter", truth(settings.counter));
+    put("Extra.Counter", truth(settings.counter_enabled));
     put("Extra.CounterTimeoutMs", settings.counter_timeout_ms.to_string());
-    put("Extra.Settles", truth(settings.settles));
-    put("Extra.UnitsTop", settings.units_top.to_string());
+    put("Extra.Settles", truth(settings.settles_units));
+    put("Extra.UnitsTop", settings.max_request_units.to_string());
     put("Discovery", if settings.subscribe { "subscribe" } else { "automatic" }.to_string());
     put("Permissions.MayCancel", truth(settings.may_cancel));
     put("Permissions.MaxAttempts", settings.max_attempts.to_string());
@@ -331,31 +333,31 @@
     put("Permissions.RetryAfter", truth(settings.retry_after));
     put("Clients.MarksRetry", truth(settings.marks_retry));
     put("Permissions.Probing", truth(settings.probing));
-    put("Permissions.SecondCopies", truth(settings.second_copies));
+    put("Permissions.SecondCopies", truth(settings.hedging));
     put("Tariffs.Probe", settings.probe_fee.to_string());
     put("Tariffs.CrossZone", settings.cross_zone_fee.to_string());
-    put("Guarantees.ColdFrom", settings.cold_from.to_string());
-    put("Guarantees.ColdMs", settings.cold_ms.to_string());
+    put("Guarantees.ColdFrom", settings.cold_start_share.to_string());
+    put("Guarantees.ColdMs", settings.warmup_ms.to_string());
     put("Guarantees.DrainGraceMs", settings.drain_grace_ms.to_string());
-    put("Guarantees.FallMultiple", settings.fall_multiple.to_string());
-    put("Guarantees.FallMs", settings.fall_ms.to_string());
+    put("Guarantees.FallMultiple", settings.overload_multiple.to_string());
+    put("Guarantees.FallMs", settings.overload_ms.to_string());
     put("Guarantees.GraceToAnswerMs", settings.answer_grace_ms.to_string());
     put("Classes.count", settings.classes.len().to_string());
     for (at, class) in settings.classes.iter().enumerate() {
         let mut put = |key: &str, value: String| put(&format!("Classes.{at}.{key}"), value);
         put("Name", class.name.clone());
-        put("AimMs", class.aim_ms.to_string());
-        put("GiveUpMs", class.give_up_ms.to_string());
-        let repeat = match class.repeat {
-            Repeat::Repeatable => "repeatable",
-            Repeat::ByKey => "by_key",
-            Repeat::Once => "once",
+        put("AimMs", class.target_latency_ms.to_string());
+        put("GiveUpMs", class.client_timeout_ms.to_string());
+        let repeat = match class.retry_safety {
+            RetrySafety::Idempotent => "repeatable",
+            RetrySafety::Keyed => "by_key",
+            RetrySafety::AtMostOnce => "once",
         };
         put("Repeat", repeat.to_string());
-        let group = match class.group {
-            Group::All => "all",
-            Group::Zone => "zone",
-            Group::Cell => "cell",
+        let group = match class.dedup_scope {
+            DedupScope::All => "all",
+            DedupScope::Zone => "zone",
+            DedupScope::Cell => "cell",
         };
         put("Group", group.to_string());
         put("KeyTtlMs", class.key_ttl_ms.to_string());
@@ -368,10 +370,10 @@
         let mut put = |key: &str, value: f64| put(&format!("TiersOfService.{at}.{key}"), value.to_string());
         put("Refill", plan.rate);
         put("PeakUnits", plan.burst);
-        put("AtOnce", plan.at_once);
-        put("WorthFactor", plan.price);
+        put("AtOnce", plan.max_concurrent);
+        put("WorthFactor", plan.worth_factor);
         put("ExcessWorth", plan.excess_worth);
-        put("OverCost", plan.over_cost);
+        put("OverCost", plan.excess_cost);
         put("CeilingRate", plan.ceiling_rate);
         put("NeverOverDepth", plan.ceiling_burst);
         put("CeilingSlack", plan.ceiling_slack);
@@ -390,7 +392,7 @@
 }
 
 /// Appends the line of one action.
-pub fn print_action(action: &Action, to: &mut String) {
+pub fn write_action(action: &Action, to: &mut String) {
     let done = match action {
         Action::Send(id, server, limit) => {
             writeln!(to, "DISPATCH\tId={id}\tServer={server}\tLimitMs={limit:.3}")
@@ -399,11 +401,13 @@
         Action::Fail(id) => writeln!(to, "FAIL\tId={id}"),
         Action::Cancel(id, attempt) => writeln!(to, "RETRACT\tId={id}\tGo={attempt}"),
         Action::Probe(server) => writeln!(to, "SOUND_OUT\tServer={server}"),
-        Action::Watch => writeln!(to, "TRACK\tActive=1"),
-        Action::FetchList => writeln!(to, "QUERY_ALL"),
-        Action::Count(name, add, ttl) => writeln!(to, "INCR\tTtlMs={ttl:.3}\tAdd={add}\tCounterKey={name}"),
+        Action::SubscribeServers => writeln!(to, "TRACK\tActive=1"),
+        Action::FetchServers => writeln!(to, "QUERY_ALL"),
+        Action::IncrementCounter(name, add, ttl) => {
+            writeln!(to, "INCR\tTtlMs={ttl:.3}\tAdd={add}\tCounterKey={name}")
+        }
         Action::Timer(token, after) => writeln!(to, "SET_TIMER\tKeyBack={token}\tAfterMs={after:.3}"),
-        Action::Close(server) => writeln!(to, "HANG_UP\tServer={server}"),
+        Action::CloseIdle(server) => writeln!(to, "HANG_UP\tServer={server}"),
         Action::Log(text) => writeln!(to, "WRITE_LOG\tWhat={}", one_line(text)),
     };
     done.expect("writing to a String cannot fail");
--- a/crates/decide/tests/module/attempts.rs
+++ b/crates/decide/tests/module/attempts.rs
@@ -54,7 +54,7 @@
 #[test]
 fn a_keyed_request_of_a_cell_is_repeated_in_its_cell_only() {
     let mut own = settings();
-    own.classes[1].group = Group::Cell;
+    own.classes[1].dedup_scope = DedupScope::Cell;
     let mut rig = Rig::new(own, 0);
     let cell = |at: usize, cell| ServerEntry { cell, ..server(at, ServerState::Up, 0.0) };
     rig.tell(Event::Servers(ListKind::Full, vec![cell(0, 1), cell(1, 2), cell(2, 2), cell(3, 3)]));
@@ -119,7 +119,7 @@
     let pause = advice(&rig.counted(&name, Status::Ok, 1_000.0), "over").expect("refused at once");
     assert!(pause > 50.0 && pause <= 500.0, "{pause} ms");
     // Doubted: a client's repeat while the counter is silent, among hundreds of gateways.
-    let mut rig = Rig::new(Settings { siblings: 400, ..settings() }, 4);
+    let mut rig = Rig::new(Settings { gateway_count: 400, ..settings() }, 4);
     for at in 0..20u64 {
         rig.now += 20.0;
         let id = format!("r{at}");
@@ -128,9 +128,9 @@
             class: "safe".into(),
             plan: "soft".into(),
             customer: at,
-            patience_ms: 2000.0,
+            timeout_ms: 2000.0,
             units: 1.0,
-            doors: 200,
+            gateways: 200,
             retry: true,
         }));
         for (name, _) in counts(&out.clone()) {
@@ -139,7 +139,7 @@
         assert_eq!(advice(&out, &id), Some(500.0), "{id}");
     }
     // Shed by late answers.
-    let mut rig = Rig::new(Settings { siblings: 400, ..settings() }, 4);
+    let mut rig = Rig::new(Settings { gateway_count: 400, ..settings() }, 4);
     let mut shed = 0;
     for at in 0..200 {
         rig.now += 20.0;
@@ -190,10 +190,19 @@
     let mut rig = Rig::new(settings(), 2);
     let (class, plan) = ("safe".to_string(), "soft".to_string());
     let (customer, patience_ms, units, doors, retry) = (5, 5.0, 1.0, 2, true);
-    let arrival = Arrival { id: "a".into(), class, plan, customer, patience_ms, units, doors, retry };
+    let arrival = Arrival {
+        id: "a".into(),
+        class,
+        plan,
+        customer,
+        timeout_ms: patience_ms,
+        units,
+        gateways: doors,
+        retry,
+    };
     let out = rig.tell(Event::Request(arrival));
     assert!(refused(&out, "a") && sends(&out).is_empty(), "{out:?}");
-    assert_eq!(rig.limiter.open_requests(), 0);
+    assert_eq!(rig.limiter.open_request_count(), 0);
 }
 
 /// A region or a path that says nothing cost a request all its time: where it may go elsewhere, it leaves time
@@ -231,14 +240,14 @@
 fn later(id: &str, age: f64) -> Arrival {
     Arrival {
         retry: true,
-        patience_ms: class("safe", Repeat::Repeatable).give_up_ms - age,
+        timeout_ms: class("safe", RetrySafety::Idempotent).client_timeout_ms - age,
         ..arrival(id, "safe", "free")
     }
 }
 
 #[test]
 fn a_later_try_whose_aim_is_gone_is_refused_at_once_where_a_late_answer_earns_nothing() {
-    let aim = class("safe", Repeat::Repeatable).aim_ms;
+    let aim = class("safe", RetrySafety::Idempotent).target_latency_ms;
     for (late_share, age, sent) in [(0.0, aim / 2.0, true), (0.0, aim + 10.0, false), (0.2, aim + 10.0, true)]
     {
         let mut own = Settings { marks_retry: true, ..settings() };
@@ -252,9 +261,9 @@
 
 #[test]
 fn a_place_that_gets_free_goes_to_a_first_try_before_a_late_one_that_came_earlier() {
-    let mut own = Settings { marks_retry: true, second_copies: false, ..settings() };
+    let mut own = Settings { marks_retry: true, hedging: false, ..settings() };
     own.classes.iter_mut().for_each(|class| class.late_share = 0.2);
-    let aim = own.classes[0].aim_ms;
+    let aim = own.classes[0].target_latency_ms;
     let mut rig = Rig::new(own, 1);
     let mut out = Vec::new();
     while let Some(to) = sends(&rig.request(&format!("fill{}", out.len()), "safe", "free")).pop() {
@@ -280,6 +289,6 @@
         }
     }
     // Half of the usual patience, and late answers earn nothing; nobody marks retries here.
-    let hasty = Arrival { patience_ms: 1000.0, ..arrival("hasty", "safe", "free") };
+    let hasty = Arrival { timeout_ms: 1000.0, ..arrival("hasty", "safe", "free") };
     assert_eq!(sends(&rig.tell(Event::Request(hasty))).len(), 1);
 }
--- a/crates/decide/tests/module/common.rs
+++ b/crates/decide/tests/module/common.rs
@@ -4,10 +4,20 @@
 use nickeljunction_decide::decide::Limiter;
 use std::collections::BTreeMap;
 
-pub(crate) fn class(name: &str, repeat: Repeat) -> Class {
-    let (aim_ms, give_up_ms, key_ttl_ms, group) = (500.0, 2000.0, 1000.0, Group::All);
+pub(crate) fn class(name: &str, repeat: RetrySafety) -> Class {
+    let (aim_ms, give_up_ms, key_ttl_ms, group) = (500.0, 2000.0, 1000.0, DedupScope::All);
     let name = name.to_string();
-    Class { name, aim_ms, give_up_ms, repeat, group, key_ttl_ms, late_share: 0.0, stream: false, worth: 1.0 }
+    Class {
+        name,
+        target_latency_ms: aim_ms,
+        client_timeout_ms: give_up_ms,
+        retry_safety: repeat,
+        dedup_scope: group,
+        key_ttl_ms,
+        late_share: 0.0,
+        stream: false,
+        worth: 1.0,
+    }
 }
 
 pub(crate) fn plan(name: &str, rate: f64, burst: f64, ceiling: f64, at_once: f64) -> Plan {
@@ -15,7 +25,7 @@
         name: name.to_string(),
         rate,
         burst,
-        at_once,
+        max_concurrent: at_once,
         ceiling_rate: ceiling * rate,
         ceiling_burst: ceiling * burst,
         ceiling_slack: 1.0,
@@ -25,13 +35,13 @@
 
 pub(crate) fn settings() -> Settings {
     Settings {
-        siblings: 2,
+        gateway_count: 2,
         zone: "z".into(),
         step_ms: 4.0,
         classes: vec![
-            class("safe", Repeat::Repeatable),
-            class("keyed", Repeat::ByKey),
-            class("once", Repeat::Once),
+            class("safe", RetrySafety::Idempotent),
+            class("keyed", RetrySafety::Keyed),
+            class("once", RetrySafety::AtMostOnce),
         ],
         plans: vec![
             plan("soft", 10.0, 20.0, 0.0, 0.0),
@@ -39,19 +49,19 @@
             plan("few", 0.0, 0.0, 0.0, 2.0),
             plan("free", 0.0, 0.0, 0.0, 0.0),
         ],
-        counter: true,
+        counter_enabled: true,
         counter_timeout_ms: 50.0,
-        units_top: 1.0,
+        max_request_units: 1.0,
         may_cancel: true,
         max_attempts: 3,
         max_retry_after_ms: 500.0,
         retry_after: true,
-        second_copies: true,
-        cold_from: 0.2,
-        cold_ms: 10_000.0,
+        hedging: true,
+        cold_start_share: 0.2,
+        warmup_ms: 10_000.0,
         drain_grace_ms: 500.0,
-        fall_multiple: 2.0,
-        fall_ms: 1000.0,
+        overload_multiple: 2.0,
+        overload_ms: 1000.0,
         answer_grace_ms: 16.0,
         ..Settings::default()
     }
@@ -67,7 +77,7 @@
     pub(crate) fn new(settings: Settings, servers: usize) -> Rig {
         let mut rig = Rig { limiter: Limiter::new(settings, 7).expect("good settings"), now: 100_000.0 };
         let list = (0..servers).map(|at| server(at, ServerState::Up, 0.0)).collect();
-        rig.tell(Event::Servers(ListKind::Saved, list));
+        rig.tell(Event::Servers(ListKind::Cached, list));
         rig
     }
 
@@ -83,7 +93,12 @@
 
     pub(crate) fn outcome(&mut self, id: &str, attempt: usize, server: &str, status: Status) -> Vec<Action> {
         let closed = status == Status::Ok;
-        self.tell(Event::Outcome(Outcome { attempt, status, closed, ..answer(id, server, 50.0) }))
+        self.tell(Event::Outcome(Outcome {
+            attempt,
+            status,
+            request_closed: closed,
+            ..answer(id, server, 50.0)
+        }))
     }
 
     /// Sweeps for so long.
@@ -97,30 +112,30 @@
     }
 
     pub(crate) fn counted(&mut self, name: &str, status: Status, total: f64) -> Vec<Action> {
-        self.tell(Event::Counted(name.into(), status, total))
+        self.tell(Event::CountReply(name.into(), status, total))
     }
 }
 
 /// A request of one unit of customer 5, which comes in through two doors.
 pub(crate) fn arrival(id: &str, class: &str, plan: &str) -> Arrival {
     let (id, class, plan) = (id.into(), class.into(), plan.into());
-    Arrival { id, class, plan, customer: 5, patience_ms: 2000.0, units: 1.0, doors: 2, retry: false }
+    Arrival { id, class, plan, customer: 5, timeout_ms: 2000.0, units: 1.0, gateways: 2, retry: false }
 }
 
 /// The good answer to a first attempt.
 pub(crate) fn answer(id: &str, server: &str, latency_ms: f64) -> Outcome {
     let (id, server, load) = (id.into(), server.into(), BTreeMap::new());
     let (attempt, status, settled, closed) = (0, Status::Ok, 0.0, true);
-    Outcome { id, attempt, server, status, settled, latency_ms, closed, load }
+    Outcome { id, attempt, server, status, settled_units: settled, latency_ms, request_closed: closed, load }
 }
 
 /// So many gateways of one fleet, each with numbers of its own.
 pub(crate) fn gateways(count: usize, servers: usize) -> Vec<Rig> {
     let gateway = |me| {
-        let own = Settings { me, siblings: count, ..settings() };
+        let own = Settings { gateway_index: me, gateway_count: count, ..settings() };
         let mut rig = Rig { limiter: Limiter::new(own, me as u64).expect("good settings"), now: 100_000.0 };
         let list = (0..servers).map(|at| server(at, ServerState::Up, 0.0)).collect();
-        rig.tell(Event::Servers(ListKind::Saved, list));
+        rig.tell(Event::Servers(ListKind::Cached, list));
         rig
     };
     (0..count).map(gateway).collect()
@@ -133,9 +148,9 @@
         zone: "z".into(),
         cell: 0,
         weight: 1.0,
-        launched,
-        near: 0,
-        order: 0.0,
+        started_at_ms: launched,
+        distance: 0,
+        rank: 0.0,
     }
 }
 
@@ -149,7 +164,7 @@
 
 pub(crate) fn counts(out: &[Action]) -> Vec<(String, f64)> {
     let pick = |action: &Action| match action {
-        Action::Count(name, add, _) => Some((name.clone(), *add)),
+        Action::IncrementCounter(name, add, _) => Some((name.clone(), *add)),
         _ => None,
     };
     out.iter().filter_map(pick).collect()
@@ -175,11 +190,14 @@
 
 /// One of a hundred gateways; requests have up to six units, which are settled afterwards.
 pub(crate) fn among_many(servers: usize) -> Rig {
-    Rig::new(Settings { siblings: 100, settles: true, units_top: 6.0, ..settings() }, servers)
+    Rig::new(
+        Settings { gateway_count: 100, settles_units: true, max_request_units: 6.0, ..settings() },
+        servers,
+    )
 }
 
 /// The first request of customer 1000 + `at` on `soft`, through so many doors.
 pub(crate) fn first_request(rig: &mut Rig, at: u64, doors: usize) -> Vec<Action> {
     let request = arrival(&format!("r{at}"), "safe", "soft");
-    rig.tell(Event::Request(Arrival { customer: 1_000 + at, doors, ..request }))
+    rig.tell(Event::Request(Arrival { customer: 1_000 + at, gateways: doors, ..request }))
 }
--- a/crates/decide/tests/module/counter.rs
+++ b/crates/decide/tests/module/counter.rs
@@ -16,9 +16,9 @@
                 class: "safe".into(),
                 plan: "soft".into(),
                 customer: 1000 + round * 40 + at,
-                patience_ms: 2000.0,
+                timeout_ms: 2000.0,
                 units: 1.0,
-                doors: 2,
+                gateways: 2,
                 retry: false,
             }))));
         }
@@ -83,7 +83,7 @@
 
 #[test]
 fn no_counter_means_a_fixed_share() {
-    let mut rig = Rig::new(Settings { counter: false, ..settings() }, 30);
+    let mut rig = Rig::new(Settings { counter_enabled: false, ..settings() }, 30);
     let mut sent = 0;
     for at in 0..40 {
         let out = rig.request(&format!("r{at}"), "safe", "soft");
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_ceiling_without_a_counter_is_never_more_than_a_door_s_exact_part() {
-    let mut own = Settings { counter: false, ..settings() };
+    let mut own = Settings { counter_enabled: false, ..settings() };
     own.plans[1].burst = 200.0;
     own.plans[1].ceiling_burst = 40.0;
     let mut rig = Rig::new(own, 60);
@@ -109,7 +109,7 @@
 
 #[test]
 fn hundreds_of_gateways_thin_their_calls_when_the_counter_is_crowded_and_still_let_in() {
-    let mut rig = Rig::new(Settings { siblings: 400, ..settings() }, 40);
+    let mut rig = Rig::new(Settings { gateway_count: 400, ..settings() }, 40);
     let (mut calls, mut sent) = (0, 0);
     for at in 0..400u64 {
         rig.now += 50.0;
@@ -132,13 +132,13 @@
 #[test]
 fn in_counter_silence_hundreds_of_gateways_refuse_marked_repeats_and_few_do_not() {
     for (siblings, expected) in [(2, true), (400, false)] {
-        let mut rig = Rig::new(Settings { siblings, ..settings() }, 40);
+        let mut rig = Rig::new(Settings { gateway_count: siblings, ..settings() }, 40);
         let mut let_in = false;
         for at in 0..60u64 {
             rig.now += 20.0;
             let mut out = rig.tell(Event::Request(Arrival {
                 customer: 1_000 + at,
-                doors: siblings.min(200),
+                gateways: siblings.min(200),
                 retry: true,
                 ..arrival(&format!("r{at}"), "safe", "soft")
             }));
@@ -153,7 +153,7 @@
 
 #[test]
 fn a_few_heavy_customers_do_not_take_the_trust_from_their_plan() {
-    let mut rig = Rig::new(Settings { siblings: 400, ..settings() }, 40);
+    let mut rig = Rig::new(Settings { gateway_count: 400, ..settings() }, 40);
     let (mut light, mut heavy) = ((0, 0), (0, 0));
     let mut totals = BTreeMap::new();
     for at in 0..2_000u64 {
@@ -163,7 +163,7 @@
         let customer = if own { 100 + at / 10 % 8 } else { 1 + at % 30 };
         let mut out = rig.tell(Event::Request(Arrival {
             customer,
-            doors: 200,
+            gateways: 200,
             ..arrival(&format!("r{at}"), "safe", "soft")
         }));
         for (name, add) in counts(&out.clone()) {
--- a/crates/decide/tests/module/events.rs
+++ b/crates/decide/tests/module/events.rs
@@ -7,12 +7,12 @@
 #[test]
 fn odd_but_legal_events_do_no_harm() {
     let mut rig = Rig::new(settings(), 2);
-    rig.tell(Event::Gone("nobody".into()));
+    rig.tell(Event::Abandoned("nobody".into()));
     rig.outcome("nobody", 3, "nowhere", Status::Ok);
     rig.counted("", Status::Ok, 1.0);
     rig.counted("0x.y", Status::Ok, 1.0);
     rig.tell(Event::Timer("stale".into()));
-    rig.tell(Event::Started("nobody".into(), 0));
+    rig.tell(Event::StreamStarted("nobody".into(), 0));
     rig.tell(Event::Servers(ListKind::Failed, Vec::new()));
     let out = rig.request("a", "unheard-of", "free");
     assert!(refused(&out, "a"));
@@ -54,7 +54,16 @@
                     }
                     let (server, settled, latency_ms) = (to, 0.0, rng.f64() * 300.0);
                     let load = BTreeMap::new();
-                    let told = Outcome { id, attempt, server, status, settled, latency_ms, closed, load };
+                    let told = Outcome {
+                        id,
+                        attempt,
+                        server,
+                        status,
+                        settled_units: settled,
+                        latency_ms,
+                        request_closed: closed,
+                        load,
+                    };
                     out.extend(rig.tell(Event::Outcome(told)));
                 }
                 6..=7 if !calls.is_empty() => {
@@ -92,7 +101,7 @@
                         *ended.entry(id).or_default() += 1;
                     }
                     Action::Fail(id) => *ended.entry(id).or_default() += 1,
-                    Action::Count(name, add, _) => calls.push((name, add)),
+                    Action::IncrementCounter(name, add, _) => calls.push((name, add)),
                     _ => {}
                 }
             }
@@ -100,7 +109,16 @@
         for (id, attempt, server) in std::mem::take(&mut open) {
             let (status, settled, latency_ms, load) = (Status::Ok, 0.0, 1.0, BTreeMap::new());
             ended.entry(id.clone()).or_insert(1);
-            let told = Outcome { id, attempt, server, status, settled, latency_ms, closed: true, load };
+            let told = Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                settled_units: settled,
+                latency_ms,
+                request_closed: true,
+                load,
+            };
             rig.tell(Event::Outcome(told));
         }
         for action in rig.run(3_000.0) {
@@ -111,6 +129,6 @@
         for id in tries.keys() {
             assert_eq!(ended.get(id), Some(&1), "seed {seed}: {id} needs one final answer");
         }
-        assert_eq!(rig.limiter.open_requests(), 0, "seed {seed}: state is freed");
+        assert_eq!(rig.limiter.open_request_count(), 0, "seed {seed}: state is freed");
     }
 }
--- a/crates/decide/tests/module/quota.rs
+++ b/crates/decide/tests/module/quota.rs
@@ -112,13 +112,17 @@
 /// While the counter is crowded a client's repeat was refused unasked, though the store was known to be all
 /// but full.
 fn repeats_let_in(doors: usize) -> usize {
-    let mut rig = Rig::new(Settings { siblings: doors, ..settings() }, 30);
+    let mut rig = Rig::new(Settings { gateway_count: doors, ..settings() }, 30);
     let (mut sent, mut totals) = (0, BTreeMap::new());
     for at in 0..400u64 {
         rig.now += 100.0;
         let retry = at >= 100;
-        let request =
-            Arrival { customer: at % 4, doors, retry, ..arrival(&format!("r{at}"), "safe", "soft") };
+        let request = Arrival {
+            customer: at % 4,
+            gateways: doors,
+            retry,
+            ..arrival(&format!("r{at}"), "safe", "soft")
+        };
         let mut out = rig.tell(Event::Request(request));
         let mut calls = counts(&out);
         while let Some((name, add)) = calls.pop() {
@@ -163,7 +167,7 @@
 fn through_many_doors_books_that_are_little_off_cost_no_call_of_their_own() {
     for (doors, expected) in [(2, true), (100, false)] {
         let mut rig = among_many(1);
-        let out = rig.tell(Event::Request(Arrival { doors, ..arrival("r", "safe", "soft") }));
+        let out = rig.tell(Event::Request(Arrival { gateways: doors, ..arrival("r", "safe", "soft") }));
         let (name, add) = &counts(&out)[0];
         let out = rig.counted(name, Status::Ok, floor(&rig) - 5.0 + add);
         assert_eq!(sends(&out).len(), 1, "served");
@@ -177,7 +181,7 @@
     let mut rig = among_many(1);
     for (after, calls) in [(0.0, 1), (1_000.0, 0), (1_100.0, 1)] {
         rig.now += after;
-        let large = Arrival { units: 6.0, doors: 100, ..arrival(&format!("r{after}"), "safe", "soft") };
+        let large = Arrival { units: 6.0, gateways: 100, ..arrival(&format!("r{after}"), "safe", "soft") };
         let asked = counts(&rig.tell(Event::Request(large)));
         assert_eq!(asked.len(), calls, "{after} ms later");
         for (name, add) in asked {
@@ -198,8 +202,8 @@
     for at in 0..800 {
         let rig = &mut rigs[rng.usize(..doors)];
         rig.now = rig.now.max(100_000.0 + at as f64 * 25.0);
-        let mut out =
-            rig.tell(Event::Request(Arrival { doors, ..arrival(&format!("r{at}"), "safe", "soft") }));
+        let mut out = rig
+            .tell(Event::Request(Arrival { gateways: doors, ..arrival(&format!("r{at}"), "safe", "soft") }));
         let mut done = 0;
         while let Some((name, add)) = counts(&out).get(done).cloned() {
             let total = totals.entry(name.clone()).or_default();
@@ -226,9 +230,9 @@
         let out = rig.counted(&name, Status::TimedOut, 0.0);
         assert_eq!(sends(&out).len(), 1, "served out of the local share");
         // News of another window, or of a name that nobody knows, changes nothing.
-        rig.tell(Event::Late("5.1".into(), Some(9.0)));
-        rig.tell(Event::Late("77.1".into(), Some(9.0)));
-        rig.tell(Event::Late(name, total));
+        rig.tell(Event::LateCount("5.1".into(), Some(9.0)));
+        rig.tell(Event::LateCount("77.1".into(), Some(9.0)));
+        rig.tell(Event::LateCount(name, total));
         let out = rig.request("b", "safe", "soft");
         // What b is covered by, or what it asks for itself; books may be put right besides.
         let fetched = counts(&out).iter().filter(|(_, add)| *add >= 1.0).count();
@@ -249,9 +253,9 @@
             rig.outcome(&id, 0, &server, Status::Ok);
         }
     }
-    assert_eq!(rig.limiter.customers(), 500);
+    assert_eq!(rig.limiter.customer_count(), 500);
     rig.run(70_000.0);
-    assert_eq!((rig.limiter.customers(), rig.limiter.open_requests()), (0, 0));
+    assert_eq!((rig.limiter.customer_count(), rig.limiter.open_request_count()), (0, 0));
 }
 
 /// The counter loses all counts under a plan without a ceiling: the customer is served on, and what it had taken comes
--- a/crates/decide/tests/module/servers.rs
+++ b/crates/decide/tests/module/servers.rs
@@ -7,10 +7,10 @@
 
 #[test]
 fn far_servers_are_chosen_once_the_near_ones_are_too_few() {
-    let near = |at: usize| ServerEntry { near: u8::from(at >= 10), ..server(at, ServerState::Up, 0.0) };
+    let near = |at: usize| ServerEntry { distance: u8::from(at >= 10), ..server(at, ServerState::Up, 0.0) };
     let far = |to: &str| to[1..].parse::<usize>().expect("a number") >= 10;
     for me in 0..12 {
-        let own = Settings { me, siblings: 12, ..settings() };
+        let own = Settings { gateway_index: me, gateway_count: 12, ..settings() };
         let mut rig = Rig { limiter: Limiter::new(own, me as u64).expect("good settings"), now: 100_000.0 };
         rig.tell(Event::Servers(ListKind::Full, (0..20).map(near).collect()));
         for at in 0..50 {
@@ -22,7 +22,7 @@
             rig.run(200.0);
         }
         // Those near by leave one by one: what is left of them and the first of the far ones share the work.
-        let gone = (3..10).map(|at| ServerEntry { state: ServerState::Gone, ..near(at) }).collect();
+        let gone = (3..10).map(|at| ServerEntry { state: ServerState::Removed, ..near(at) }).collect();
         rig.tell(Event::Servers(ListKind::Incremental, gone));
         let mut seen = BTreeSet::new();
         for at in 50..150 {
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_gateway_among_hundreds_meets_few_of_the_hung_servers() {
-    let own = Settings { siblings: 400, me: 7, ..settings() };
+    let own = Settings { gateway_count: 400, gateway_index: 7, ..settings() };
     let mut rig = Rig::new(own, 100);
     let mut met = BTreeSet::new();
     for at in 0..300 {
@@ -185,7 +185,7 @@
 #[test]
 fn slow_together_at_few_or_hundreds_of_gateways_sets_nobody_aside() {
     for (siblings, servers, gap_ms, most) in [(2, 9, 20.0, 0), (400, 100, 100.0, 1)] {
-        let mut rig = Rig::new(Settings { siblings, ..settings() }, servers);
+        let mut rig = Rig::new(Settings { gateway_count: siblings, ..settings() }, servers);
         let mut aside = 0;
         for at in 0..300 {
             rig.now += gap_ms;
@@ -205,7 +205,7 @@
 
 #[test]
 fn most_paths_cut_leave_the_choice_at_once_and_spare_the_attempts() {
-    let mut rig = Rig::new(Settings { siblings: 300, me: 11, ..settings() }, 60);
+    let mut rig = Rig::new(Settings { gateway_count: 300, gateway_index: 11, ..settings() }, 60);
     let reached = |server: &str| server.trim_start_matches('s').parse::<usize>().expect("a number") % 5 == 0;
     let (mut cut, mut served, mut log) = (0, 0, 0);
     for at in 0..300 {
@@ -231,7 +231,7 @@
 
 #[test]
 fn a_path_that_is_back_is_used_again() {
-    let mut rig = Rig::new(Settings { siblings: 300, ..settings() }, 2);
+    let mut rig = Rig::new(Settings { gateway_count: 300, ..settings() }, 2);
     let mut back = 0;
     for at in 0..400 {
         rig.now += 100.0;
@@ -258,9 +258,9 @@
         let sent: Vec<_> = ids.iter().flat_map(|id| sends(&rig.request(id, "once", "free"))).collect();
         rig.now += 50.0;
         for (id, server) in sent {
-            let status = if server == "s1" { Status::Spoilt } else { Status::Ok };
+            let status = if server == "s1" { Status::Unreadable } else { Status::Ok };
             let out = rig.outcome(&id, 0, &server, status);
-            if status == Status::Spoilt {
+            if status == Status::Unreadable {
                 spoilt += 1;
                 assert!(failed(&out, &id), "it may have run");
             }
--- a/crates/decide/tests/module/settings.rs
+++ b/crates/decide/tests/module/settings.rs
@@ -12,7 +12,7 @@
     let why = Limiter::new(own, 1).expect_err("no burst").to_string();
     assert!(why.contains("burst"), "{why}");
     for (me, siblings) in [(0, 0), (3, 3)] {
-        let own = Settings { me, siblings, ..settings() };
+        let own = Settings { gateway_index: me, gateway_count: siblings, ..settings() };
         let why = Limiter::new(own, 1).expect_err("no such gateway").to_string();
         assert!(why.contains("siblings"), "{why}");
     }
@@ -47,7 +47,7 @@
     let mut small = settings();
     small.plans[0] = plan("soft", 0.1, 0.2, 0.0, 0.0);
     let from = rig.now + 1.0;
-    rig.limiter.retune(small.clone(), from);
+    rig.limiter.update_settings(small.clone(), from);
     let (mut served, mut windows) = (0, BTreeSet::from([name.clone()]));
     for at in 0..40 {
         rig.now += 1_000.0;
@@ -63,7 +63,7 @@
     let sent: Vec<bool> = (0..8).map(|at| told(&mut rig, &format!("c{at}")).1).collect();
     assert!(sent[2..].iter().all(|sent| !sent), "a store of 0.2 covers none: {sent:?}");
     // And back at once, in the middle of the window.
-    rig.limiter.retune(settings(), f64::NEG_INFINITY);
+    rig.limiter.update_settings(settings(), f64::NEG_INFINITY);
     assert!(told(&mut rig, "e").1, "the store of 20 is back, with what was spent of it");
 }
 
@@ -95,7 +95,7 @@
     }
     let mut small = settings();
     small.plans[0] = plan("soft", 0.1, 1.0, 0.0, 0.0);
-    rig.limiter.retune(small, f64::NEG_INFINITY);
+    rig.limiter.update_settings(small, f64::NEG_INFINITY);
     let mut served = 0;
     let mut back = 0.0f64;
     for number in 0..8 {
@@ -119,7 +119,7 @@
     assert!(refused(&rig.request("a", "safe", "new"), "a"));
     let mut more = settings();
     more.plans.push(plan("new", 0.0, 0.0, 0.0, 0.0));
-    rig.limiter.retune(more, f64::NEG_INFINITY);
+    rig.limiter.update_settings(more, f64::NEG_INFINITY);
     assert_eq!(sends(&rig.request("b", "safe", "new")).len(), 1);
-    assert_eq!(rig.limiter.admission(), 1.0);
+    assert_eq!(rig.limiter.admission_probability(), 1.0);
 }
--- a/crates/decide/tests/module/shedding.rs
+++ b/crates/decide/tests/module/shedding.rs
@@ -15,8 +15,8 @@
 
 #[test]
 fn late_answers_all_over_shed_what_is_cheap_for_its_time_first() {
-    let mut own = Settings { siblings: 200, ..settings() };
-    own.plans[3].price = 4.0;
+    let mut own = Settings { gateway_count: 200, ..settings() };
+    own.plans[3].worth_factor = 4.0;
     own.plans.push(plan("cheap", 0.0, 0.0, 0.0, 0.0));
     let mut rig = Rig::new(own, 40);
     let (mut cheap, mut dear) = (0, 0);
@@ -33,7 +33,7 @@
 
 #[test]
 fn shedding_ends_soon_after_answers_are_quick_again() {
-    let mut rig = Rig::new(Settings { siblings: 400, ..settings() }, 40);
+    let mut rig = Rig::new(Settings { gateway_count: 400, ..settings() }, 40);
     let mut sent = 0;
     for at in 0..300 {
         rig.now += 100.0;
@@ -48,7 +48,7 @@
 
 #[test]
 fn time_outs_of_servers_not_set_aside_shed_like_late_answers() {
-    let mut rig = Rig::new(Settings { siblings: 400, ..settings() }, 40);
+    let mut rig = Rig::new(Settings { gateway_count: 400, ..settings() }, 40);
     let mut sent = 0;
     for at in 0..100 {
         rig.now += 20.0;
@@ -59,9 +59,9 @@
                 attempt: 0,
                 server: to,
                 status: Status::TimedOut,
-                settled: 0.0,
+                settled_units: 0.0,
                 latency_ms: 500.0,
-                closed: true,
+                request_closed: true,
                 load: BTreeMap::new(),
             }));
         }
@@ -71,8 +71,8 @@
 
 #[test]
 fn after_a_jam_unasked_first_tries_are_trusted_again_before_shedding_has_ended() {
-    let mut own = Settings { siblings: 800, ..settings() };
-    own.plans[0].over_cost = 5.0;
+    let mut own = Settings { gateway_count: 800, ..settings() };
+    own.plans[0].excess_cost = 5.0;
     let mut rig = Rig::new(own, 40);
     let mut sent = 0;
     for at in 0..400u64 {
--- a/crates/decide/tests/wire.rs
+++ b/crates/decide/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: round trips, malformed lines and the adapter as a process.
 
 use nickeljunction_decide::api::*;
-use nickeljunction_decide::wire::{print_action, Line};
+use nickeljunction_decide::wire::{write_action, Line};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -27,8 +27,8 @@
 fn a_request_is_read_and_unknown_fields_are_skipped() {
     let told = event("ACCEPT\tId=r-1\tClass=c\tPatienceLeftMs=240.5\tQuotaUnits=2\tContract=p\tDoors=3\tCustomer=77\tNew=1");
     let Ok(Some(Event::Request(arrival))) = told else { panic!("{told:?}") };
-    assert_eq!((arrival.id.as_str(), arrival.patience_ms, arrival.units), ("r-1", 240.5, 2.0));
-    assert_eq!((arrival.doors, arrival.customer, arrival.retry), (3, 77, false));
+    assert_eq!((arrival.id.as_str(), arrival.timeout_ms, arrival.units), ("r-1", 240.5, 2.0));
+    assert_eq!((arrival.gateways, arrival.customer, arrival.retry), (3, 77, false));
     assert_eq!(event("WHATEVER\tA=1"), Ok(None));
 }
 
@@ -36,7 +36,7 @@
 fn an_outcome_carries_its_load_report() {
     let told = event("REPLY\tId=r\tDisposition=TimedOut\tGo=1\tServer=a:1\tPressure=mean_ms:12.5,depth:3");
     let Ok(Some(Event::Outcome(outcome))) = told else { panic!("{told:?}") };
-    assert_eq!((outcome.status, outcome.attempt, outcome.closed), (Status::TimedOut, 1, false));
+    assert_eq!((outcome.status, outcome.attempt, outcome.request_closed), (Status::TimedOut, 1, false));
     assert_eq!(outcome.load.get("mean_ms"), Some(&12.5));
 }
 
@@ -66,15 +66,15 @@
 fn actions_are_printed_as_the_wire_wants_them() {
     let lines = [
         (Action::Send("r".into(), "a:1".into(), 80.0), "DISPATCH\tId=r\tServer=a:1\tLimitMs=80.000\n"),
-        (Action::Count("k".into(), -2.0, 60.0), "INCR\tTtlMs=60.000\tAdd=-2\tCounterKey=k\n"),
+        (Action::IncrementCounter("k".into(), -2.0, 60.0), "INCR\tTtlMs=60.000\tAdd=-2\tCounterKey=k\n"),
         (Action::Log("a\tb\nc".into()), "WRITE_LOG\tWhat=a b c\n"),
         (Action::Cancel("r".into(), 1), "RETRACT\tId=r\tGo=1\n"),
         (Action::Refuse("r".into(), 2.0), "SHED\tId=r\tPauseMs=2.000\n"),
-        (Action::Watch, "TRACK\tActive=1\n"),
+        (Action::SubscribeServers, "TRACK\tActive=1\n"),
     ];
     for (action, wanted) in lines {
         let mut text = String::new();
-        print_action(&action, &mut text);
+        write_action(&action, &mut text);
         assert_eq!(text, wanted);
     }
 }
@@ -110,10 +110,10 @@
 fn settings_come_back_from_their_pairs_to_the_bit() {
     let class = Class {
         name: "c".into(),
-        aim_ms: 0.1 + 0.2,
-        give_up_ms: 1e9 / 3.0,
-        repeat: Repeat::ByKey,
-        group: Group::Cell,
+        target_latency_ms: 0.1 + 0.2,
+        client_timeout_ms: 1e9 / 3.0,
+        retry_safety: RetrySafety::Keyed,
+        dedup_scope: DedupScope::Cell,
         key_ttl_ms: 5.0,
         late_share: 0.25,
         stream: true,
@@ -123,29 +123,34 @@
         name: "p q".into(),
         rate: 1.0 / 3.0,
         burst: 7.7,
-        at_once: 2.0,
-        price: 0.55,
+        max_concurrent: 2.0,
+        worth_factor: 0.55,
         excess_worth: 0.1,
-        over_cost: 1.2,
+        excess_cost: 1.2,
         ceiling_rate: 2.0 / 3.0,
         ceiling_burst: 15.4,
         ceiling_slack: 1e-7,
     };
     let settings = Settings {
-        me: 2,
-        siblings: 4,
+        gateway_index: 2,
+        gateway_count: 4,
         zone: "east-wing".into(),
         step_ms: 2.0,
-        subset_least: 9.0,
+        min_subset: 9.0,
         classes: vec![
             class.clone(),
-            Class { name: "d".into(), repeat: Repeat::Once, group: Group::Zone, ..class },
+            Class {
+                name: "d".into(),
+                retry_safety: RetrySafety::AtMostOnce,
+                dedup_scope: DedupScope::Zone,
+                ..class
+            },
         ],
         plans: vec![plan],
-        counter: true,
+        counter_enabled: true,
         counter_timeout_ms: 30.5,
-        settles: true,
-        units_top: 6.0,
+        settles_units: true,
+        max_request_units: 6.0,
         subscribe: true,
         may_cancel: true,
         max_attempts: 6,
@@ -153,16 +158,16 @@
         retry_after: true,
         marks_retry: true,
         probing: true,
-        second_copies: true,
+        hedging: true,
         probe_fee: 0.01,
         cross_zone_fee: 0.014,
-        cold_from: 0.15,
-        cold_ms: 16_000.0,
+        cold_start_share: 0.15,
+        warmup_ms: 16_000.0,
         drain_grace_ms: 1_000.0,
-        fall_multiple: 2.0,
-        fall_ms: 1_500.0,
+        overload_multiple: 2.0,
+        overload_ms: 1_500.0,
         answer_grace_ms: 50.0,
     };
-    let pairs = nickeljunction_decide::wire::settings_pairs(&settings);
-    assert_eq!(Line::of("settings", &pairs).settings().expect("read"), settings);
+    let pairs = nickeljunction_decide::wire::settings_to_pairs(&settings);
+    assert_eq!(Line::from_pairs("settings", &pairs).settings().expect("read"), settings);
 }
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -4,7 +4,7 @@
 use crate::exchange_state::{verdict, Receiver, Sends, Verdict, Withheld};
 use crate::pool::{Link, Pool, SendError};
 use bytes::{Bytes, BytesMut};
-use nickeljunction_core::facade::{Outcome, Repeat};
+use nickeljunction_core::facade::{Outcome, RetrySafety};
 use nickeljunction_core::life::Answer;
 use nickeljunction_http::stream::{put_chunk, put_last_chunk, put_line, AnswerHead, BodyReader};
 use nickeljunction_http::{Chunk, Framing, Headers};
@@ -38,7 +38,7 @@
     attempt_id: String,
     pub(crate) tenant: Option<String>,
     pub(crate) backend: Rc<str>,
-    pub(crate) repeat: Repeat,
+    pub(crate) repeat: RetrySafety,
     pub(crate) max_attempts: u32,
     /// Full worth is earned within this time, ms.
     pub(crate) aim_ms: f64,
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::ebb::Ebb;
 use bytes::Bytes;
-use nickeljunction_core::facade::Repeat;
+use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_http::Headers;
 use std::cell::RefCell;
@@ -59,7 +59,7 @@
     /// Regions that may serve it; empty: any.
     pub homes: Rc<[String]>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// Full worth is earned within this time, ms.
     pub aim_ms: f64,
     /// Most servers that it may be sent to.
--- a/crates/edge/src/exchange_state.rs
+++ b/crates/edge/src/exchange_state.rs
@@ -5,7 +5,7 @@
 //! An answer counts when it names the request's own id: bytes of an earlier one may come in its place.
 
 use bytes::BytesMut;
-use nickeljunction_core::facade::{Outcome, Repeat};
+use nickeljunction_core::facade::{Outcome, RetrySafety};
 use nickeljunction_http::stream::{read_answer_head, AnswerHead, BodyReader};
 use nickeljunction_http::{Chunk, HttpError, MOST_HEAD};
 
@@ -74,11 +74,11 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn allow(&self, repeat: Repeat, most: u32) -> Result<(), Withheld> {
+    pub fn allow(&self, repeat: RetrySafety, most: u32) -> Result<(), Withheld> {
         if self.begun >= most {
             return Err(Withheld::MostSends);
         }
-        if repeat == Repeat::Once && self.exposed > 0 {
+        if repeat == RetrySafety::AtMostOnce && self.exposed > 0 {
             return Err(Withheld::MayHaveRun);
         }
         Ok(())
@@ -105,8 +105,8 @@
     }
 
     /// Its client may be told that it has not run. What may run twice may run after a refusal, too.
-    pub fn may_refuse(&self, repeat: Repeat) -> bool {
-        repeat != Repeat::Once || self.exposed == 0
+    pub fn may_refuse(&self, repeat: RetrySafety) -> bool {
+        repeat != RetrySafety::AtMostOnce || self.exposed == 0
     }
 }
 
@@ -249,7 +249,7 @@
 }
 
 /// What status and lines of an answer mean for a request that may be repeated like this.
-pub fn verdict(head: &AnswerHead, repeat: Repeat) -> Verdict {
+pub fn verdict(head: &AnswerHead, repeat: RetrySafety) -> Verdict {
     if head.status == 421 || head.headers.get("x-not-executed").is_some() {
         return Verdict::TurnedAway { misdirected: head.status == 421 };
     }
@@ -262,7 +262,7 @@
         408 | 429 | 503 => Verdict::Elsewhere { in_reserve: false },
         ..=499 => Verdict::Deliver(Outcome::Served),
         // What repeats can go elsewhere; what can't is told what the server told.
-        _ if repeat == Repeat::Once => Verdict::Deliver(Outcome::Error),
+        _ if repeat == RetrySafety::AtMostOnce => Verdict::Deliver(Outcome::Error),
         _ => Verdict::Elsewhere { in_reserve: true },
     }
 }
--- a/crates/edge/src/front.rs
+++ b/crates/edge/src/front.rs
@@ -9,7 +9,7 @@
 use crate::exchange::{Admission, Admitted, Body, Dispatch, Exchange};
 use crate::reply::{Own, Reply};
 use crate::table::{self, Found, Route, Swap, Table, Tenant};
-use nickeljunction_core::facade::Repeat;
+use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_http::stream::RequestHead;
 use nickeljunction_http::HttpError;
@@ -407,7 +407,7 @@
             attempt_id,
             backend,
             homes,
-            repeat: if route.repeatable { Repeat::Repeatable } else { Repeat::Once },
+            repeat: if route.repeatable { RetrySafety::Idempotent } else { RetrySafety::AtMostOnce },
             aim_ms: route.aim_ms,
             max_attempts: route.max_attempts,
             priority: table::priority(&route, tenant.as_deref()),
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -16,8 +16,8 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::{near, own_slots, usable, weight, Place, Upstream};
 use nickeljunction_core::facade::{
-    Class, Facade, Group, Intake, Outcome, RegionEntry, Repeat, RequestKey, RoutedTask, ServiceTable,
-    Settings,
+    Class, DedupScope, Facade, Intake, Outcome, RegionEntry, RequestKey, RetrySafety, RoutedTask,
+    ServiceTable, Settings,
 };
 use nickeljunction_core::life::{Answer, Core, Ports, ANSWER_MARGIN_MS};
 use nickeljunction_messages::ServerLine;
@@ -81,7 +81,7 @@
         let handle = tokio::task::spawn_local(send).abort_handle();
         // After the order to leave all go on: what the client gets in the end may be an answer of one's own. What must not
         // run twice has no other send that may have reached a server.
-        if self.shared.shutdown.get().is_none() || load.repeat == Repeat::Once {
+        if self.shared.shutdown.get().is_none() || load.repeat == RetrySafety::AtMostOnce {
             load.cut_kept();
         }
         self.out.insert((task.request, task.attempt), (handle, load.clone()));
@@ -127,7 +127,7 @@
 
 /// A class of a lane: what makes it one, and what the module is told.
 struct LaneClass {
-    repeat: Repeat,
+    repeat: RetrySafety,
     aim_ms: f64,
     priority: u32,
     class: Class,
@@ -494,7 +494,7 @@
     /// The class of a request, by its name in the lane; the module is told of new ones.
     fn class(&self, lane: &Rc<Lane>, exchange: &Exchange) -> String {
         // One that may go to a single server is not repeated, nor cut short in the hope of it.
-        let repeat = if exchange.max_attempts <= 1 { Repeat::Once } else { exchange.repeat };
+        let repeat = if exchange.max_attempts <= 1 { RetrySafety::AtMostOnce } else { exchange.repeat };
         let (aim_ms, priority) = (exchange.aim_ms.max(1.0), exchange.priority);
         let fits = |known: &LaneClass| {
             known.repeat == repeat && known.aim_ms == aim_ms && known.priority == priority
@@ -511,10 +511,10 @@
                 changed = true;
                 let class = Class {
                     name: format!("{repeat:?}/{aim_ms}/{priority}"),
-                    aim_ms,
-                    give_up_ms: exchange.patience_ms,
-                    repeat,
-                    group: Group::All,
+                    target_latency_ms: aim_ms,
+                    client_timeout_ms: exchange.patience_ms,
+                    retry_safety: repeat,
+                    dedup_scope: DedupScope::All,
                     key_ttl_ms: 0.0,
                     late_share: 0.5,
                     stream: false,
@@ -525,9 +525,9 @@
             }
         };
         // Later tries come with less time left than first ones: the longest wait is the client's whole.
-        if exchange.patience_ms > classes[at].class.give_up_ms * PATIENCE_STEP {
+        if exchange.patience_ms > classes[at].class.client_timeout_ms * PATIENCE_STEP {
             changed = true;
-            classes[at].class.give_up_ms = exchange.patience_ms;
+            classes[at].class.client_timeout_ms = exchange.patience_ms;
         }
         let name = classes[at].class.name.clone();
         drop(classes);
@@ -550,7 +550,7 @@
                 ended = &mut sending => ended,
                 () = load.left() => {
                     self.drive(&lane, |core, now| core.left(now, key));
-                    if load.repeat != Repeat::Once {
+                    if load.repeat != RetrySafety::AtMostOnce {
                         self.ended(&lane, &task, Outcome::CalledOff, None);
                         return;
                     }
--- a/crates/edge/tests/cuts.rs
+++ b/crates/edge/tests/cuts.rs
@@ -1,7 +1,7 @@
 //! A server's connection that ends at any byte of a request or of its answer, over loopback.
 
 use bytes::{Bytes, BytesMut};
-use nickeljunction_core::facade::Repeat;
+use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{Body, Dispatch, Exchange, Part, Served, ServedBody};
 use nickeljunction_edge::figures::{Backend, Tuning};
@@ -44,7 +44,7 @@
 struct Cut {
     at: Spot,
     end: End,
-    repeat: Repeat,
+    repeat: RetrySafety,
 }
 
 /// What the servers have seen: the ids that they ran, and whether the first connection has been taken.
@@ -146,7 +146,7 @@
 fn exchange(
     wheel: &Wheel,
     id: &str,
-    repeat: Repeat,
+    repeat: RetrySafety,
     patience_ms: f64,
 ) -> (Exchange, oneshot::Receiver<Answer<Served>>) {
     let mut head = BytesMut::from("POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: x\r\n\r\n");
@@ -221,7 +221,7 @@
         World { proxy, wheel, seen, _tasks: tasks }
     }
 
-    async fn ask(&self, id: &str, repeat: Repeat, patience_ms: f64) -> Answer<Served> {
+    async fn ask(&self, id: &str, repeat: RetrySafety, patience_ms: f64) -> Answer<Served> {
         let (exchange, answer) = exchange(&self.wheel, id, repeat, patience_ms);
         self.proxy.dispatch(exchange);
         answer.await.expect("exactly one answer")
@@ -244,7 +244,7 @@
     match (cut.repeat, cut.end) {
         _ if whole_answer => assert!(first == fine("a") && runs("a") == 1, "{cut:?}: {first:?}"),
         // Refused only if nothing of it went out: on a busy machine its time may be over by then.
-        (Repeat::Once, _) => {
+        (RetrySafety::AtMostOnce, _) => {
             let told = if sent == 0 { first.is_err() } else { first == Ok(None) };
             assert!(
                 told && sent <= 1 && runs("a") <= 1,
@@ -259,7 +259,7 @@
         _ => assert!(first == fine("a") && runs("a") <= 2, "{cut:?}: {first:?}"),
     }
     // What is asked next gets its own answer, once, whatever is left of the first.
-    let next = told(world.ask("b", Repeat::Once, 9_000.0).await);
+    let next = told(world.ask("b", RetrySafety::AtMostOnce, 9_000.0).await);
     assert!(next == fine("b") && runs("b") == 1, "{cut:?}, then {next:?}");
     seen.request.get()
 }
@@ -283,14 +283,15 @@
 }
 
 fn cuts(places: impl Iterator<Item = Spot> + Clone, ends: &[End]) -> Vec<Cut> {
-    let repeats = [Repeat::Once, Repeat::Repeatable];
+    let repeats = [RetrySafety::AtMostOnce, RetrySafety::Idempotent];
     let each = |repeat, end| places.clone().map(move |at| Cut { at, end, repeat });
     repeats.iter().flat_map(|repeat| ends.iter().flat_map(move |end| each(*repeat, *end))).collect()
 }
 
 #[test]
 fn wherever_a_request_is_cut_it_runs_as_often_as_it_may_and_the_next_gets_its_own_answer() {
-    let whole = all(&[Cut { at: Spot::Answer(good("a").len()), end: End::Close, repeat: Repeat::Once }]);
+    let whole =
+        all(&[Cut { at: Spot::Answer(good("a").len()), end: End::Close, repeat: RetrySafety::AtMostOnce }]);
     let places = (0..=whole).map(Spot::Request);
     let mut played = cuts(places.clone(), &[End::Close, End::Reset]);
     played.extend(cuts(places.step_by(7), &[End::Silence]));
@@ -334,7 +335,7 @@
             assert!(cut.end != End::Silence || held_ms >= patience_ms - 50.0, "{cut:?}: {held_ms}");
             world.proxy.idle().await;
             assert_eq!(
-                told(world.ask("b", Repeat::Once, 9_000.0).await),
+                told(world.ask("b", RetrySafety::AtMostOnce, 9_000.0).await),
                 Ok(Some("for b".into())),
                 "{cut:?}"
             );
--- a/crates/edge/tests/exchange.rs
+++ b/crates/edge/tests/exchange.rs
@@ -2,7 +2,7 @@
 //! connection, walked through the decisions without sockets, and every place at which a real connection may end.
 
 use bytes::{Bytes, BytesMut};
-use nickeljunction_core::facade::Repeat;
+use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_edge::exchange_state::{verdict, Carried, Receiver, Sends, Verdict};
 use nickeljunction_http::stream::BodyReader;
 use nickeljunction_http::Chunk;
@@ -62,7 +62,7 @@
 struct Call {
     number: usize,
     to_head: bool,
-    repeat: Repeat,
+    repeat: RetrySafety,
     wrote: Wrote,
     items: Vec<Item>,
 }
@@ -204,7 +204,7 @@
     if let Some((status, got)) = &told.delivered {
         let own = call.items.iter().any(|item| match item {
             Good | GoodAndClose | GoodInChunks => *status == 200,
-            Failure => *status == 500 && call.repeat == Repeat::Once,
+            Failure => *status == 500 && call.repeat == RetrySafety::AtMostOnce,
             _ => false,
         });
         let wanted = if call.to_head { String::new() } else { body(call.number) };
@@ -218,11 +218,15 @@
     let vouched = call.items.iter().any(|item| matches!(item, TurnedAway | Misdirected));
     let may_have_run = call.wrote != Wrote::Nothing && !vouched;
     if may_have_run {
-        assert!(told.sends.allow(Repeat::Once, 9).is_err(), "sent twice: {}", story());
-        assert!(!told.sends.may_refuse(Repeat::Once), "refused what may have run: {}", story());
+        assert!(told.sends.allow(RetrySafety::AtMostOnce, 9).is_err(), "sent twice: {}", story());
+        assert!(!told.sends.may_refuse(RetrySafety::AtMostOnce), "refused what may have run: {}", story());
     }
     if call.wrote == Wrote::Nothing {
-        assert!(told.sends.allow(Repeat::Once, 1).is_ok() && told.sends.begun() == 0, "{}", story());
+        assert!(
+            told.sends.allow(RetrySafety::AtMostOnce, 1).is_ok() && told.sends.begun() == 0,
+            "{}",
+            story()
+        );
     }
     assert!(
         told.sends.allow(call.repeat, told.sends.begun()).is_err(),
@@ -289,10 +293,10 @@
     assert!(states == 15 && calls > 100_000, "{calls} calls on {states} states");
 }
 
-fn ways() -> impl Iterator<Item = (bool, Repeat, Wrote)> {
+fn ways() -> impl Iterator<Item = (bool, RetrySafety, Wrote)> {
     let wrote = [Wrote::Nothing, Wrote::Some, Wrote::All];
     let ways = [false, true].into_iter().flat_map(|to_head| {
-        [Repeat::Once, Repeat::Repeatable].into_iter().map(move |repeat| (to_head, repeat))
+        [RetrySafety::AtMostOnce, RetrySafety::Idempotent].into_iter().map(move |repeat| (to_head, repeat))
     });
     ways.flat_map(move |(to_head, repeat)| wrote.into_iter().map(move |wrote| (to_head, repeat, wrote)))
 }
@@ -312,7 +316,7 @@
     ) {
         let items: Vec<Item> = picks.iter().map(|pick| ITEMS[*pick]).collect();
         let half = items.iter().position(|item| *item == Half).map_or(items.len(), |at| at + 1);
-        let repeat = if once { Repeat::Once } else { Repeat::Repeatable };
+        let repeat = if once { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
         let call = Call { number: earlier.len(), to_head, repeat, wrote: Wrote::All, items: items[..half].to_vec() };
         let mut carried = Carried::default();
         earlier.iter().for_each(|head| carried.add(*head));
@@ -330,7 +334,7 @@
         if let Some(delivered) = &ended.delivered {
             prop_assert_eq!(Some(delivered), by_item.delivered.as_ref());
         }
-        prop_assert!(ended.sends.allow(Repeat::Once, 9).is_err() || by_item.sends.allow(Repeat::Once, 9).is_ok());
+        prop_assert!(ended.sends.allow(RetrySafety::AtMostOnce, 9).is_err() || by_item.sends.allow(RetrySafety::AtMostOnce, 9).is_ok());
     }
 }
 
@@ -349,12 +353,12 @@
 type Change = fn(&mut Sends);
 
 /// All orders of up to so many steps of the sends of one request: begin another where that is allowed, or move one on.
-fn sends_walk(ledger: Sends, sends: &[Send], repeat: Repeat, most: u32, steps: usize, walked: &mut u64) {
+fn sends_walk(ledger: Sends, sends: &[Send], repeat: RetrySafety, most: u32, steps: usize, walked: &mut u64) {
     *walked += 1;
     let count = |state| sends.iter().filter(|send| **send == state).count() as u32;
     assert_eq!(ledger.begun(), sends.len() as u32 - count(Send::Unsent), "{sends:?}");
     assert!(ledger.begun() <= most, "more servers than the route allows: {sends:?}");
-    if repeat == Repeat::Once {
+    if repeat == RetrySafety::AtMostOnce {
         assert_eq!(ledger.may_refuse(repeat), count(Send::Exposed) == 0, "{sends:?}");
     }
     if steps == 0 {
@@ -362,10 +366,11 @@
     }
     // The gateway cuts off a send that has not gone out before it begins another one that must not run twice.
     if ledger.allow(repeat, most).is_ok() {
-        assert!(repeat != Repeat::Once || count(Send::Exposed) == 0, "twice: {sends:?}");
+        assert!(repeat != RetrySafety::AtMostOnce || count(Send::Exposed) == 0, "twice: {sends:?}");
         let (mut ledger, mut sends) = (ledger, sends.to_vec());
         ledger.begin();
-        let begun = sends.iter_mut().filter(|send| repeat == Repeat::Once && **send == Send::Begun);
+        let begun =
+            sends.iter_mut().filter(|send| repeat == RetrySafety::AtMostOnce && **send == Send::Begun);
         begun.for_each(|send| *send = Send::Cut);
         sends.push(Send::Begun);
         sends_walk(ledger, &sends, repeat, most, steps - 1, walked);
@@ -388,7 +393,7 @@
 #[test]
 fn no_order_of_sends_passes_the_routes_most_or_runs_twice_what_must_not() {
     let mut walked = 0;
-    for repeat in [Repeat::Once, Repeat::Repeatable] {
+    for repeat in [RetrySafety::AtMostOnce, RetrySafety::Idempotent] {
         for most in 1..=3 {
             sends_walk(Sends::default(), &[], repeat, most, 8, &mut walked);
         }
--- a/crates/edge/tests/front.rs
+++ b/crates/edge/tests/front.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use front_world::*;
-use nickeljunction_core::facade::Repeat;
+use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{Admission, Admitted, Body, Exchange, Part, Served};
 use nickeljunction_messages::TrialLine;
@@ -24,7 +24,7 @@
                 (&exchange.method[..], &exchange.target[..], &*exchange.backend),
                 ("GET", "/i/2?q", "a")
             );
-            assert_eq!((exchange.repeat, exchange.tenant.is_none()), (Repeat::Repeatable, true));
+            assert_eq!((exchange.repeat, exchange.tenant.is_none()), (RetrySafety::Idempotent, true));
             assert_eq!(exchange.patience_ms, 2_000.0);
         }
         for id in ["3", "2", "1"] {
@@ -225,7 +225,7 @@
                 (exchange.tenant.as_deref(), &exchange.homes[..]),
                 (Some("t"), &["r".to_string()][..])
             );
-            assert_eq!((exchange.patience_ms, exchange.repeat), (700.5, Repeat::Once));
+            assert_eq!((exchange.patience_ms, exchange.repeat), (700.5, RetrySafety::AtMostOnce));
         }
         world.serve("1");
         read(&mut client).await;
--- a/crates/edge/tests/proxy.rs
+++ b/crates/edge/tests/proxy.rs
@@ -1,7 +1,7 @@
 //! The servers' side against scripted servers: what reaches them, and what its client is told.
 
 use bytes::{Bytes, BytesMut};
-use nickeljunction_core::facade::Repeat;
+use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{
     Admission, Admitted, Body, Dispatch, Exchange, Part, Served, ServedBody, Stream,
@@ -121,7 +121,7 @@
     }
 
     /// A request of this id, and where its answer comes.
-    fn exchange(&self, id: &str, repeat: Repeat) -> (Exchange, oneshot::Receiver<Answer<Served>>) {
+    fn exchange(&self, id: &str, repeat: RetrySafety) -> (Exchange, oneshot::Receiver<Answer<Served>>) {
         let mut head = BytesMut::from(
             "GET /a?b HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer k\r\nX-Tenant-Name: forged\r\nX-Attempt-Id: x\r\n\
              X-Expected-Instance: forged\r\nX-Other: kept\r\nConnection: keep-alive\r\n\r\n",
@@ -149,7 +149,7 @@
         (exchange, answer)
     }
 
-    async fn ask(&self, id: &str, repeat: Repeat) -> Answer<Served> {
+    async fn ask(&self, id: &str, repeat: RetrySafety) -> Answer<Served> {
         let (exchange, answer) = self.exchange(id, repeat);
         self.proxy.dispatch(exchange);
         answer.await.expect("exactly one answer")
@@ -241,8 +241,8 @@
     (200, format!("for {id}"))
 }
 
-const ONCE: Repeat = Repeat::Once;
-const SAFE: Repeat = Repeat::Repeatable;
+const ONCE: RetrySafety = RetrySafety::AtMostOnce;
+const SAFE: RetrySafety = RetrySafety::Idempotent;
 
 #[test]
 fn a_surplus_answer_is_never_given_to_the_next_request() {
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -1,7 +1,7 @@
 //! Many gateways that know nothing of each other over many servers, in virtual time: how the work spreads.
 
 use nickeljunction_core::facade::{
-    Class, Facade, Group, Intake, Outcome, Repeat, Report, RequestKey, ServiceTable, Verdict,
+    Class, DedupScope, Facade, Intake, Outcome, Report, RequestKey, RetrySafety, ServiceTable, Verdict,
 };
 use nickeljunction_edge::figures::Tuning;
 use nickeljunction_edge::preference::{order, subset_least};
@@ -51,10 +51,10 @@
     let here = place(format!("edge-{at}"), at);
     let class = Class {
         name: "c".into(),
-        aim_ms: shape.aim_ms,
-        give_up_ms: 2.5 * shape.aim_ms,
-        repeat: Repeat::Once,
-        group: Group::All,
+        target_latency_ms: shape.aim_ms,
+        client_timeout_ms: 2.5 * shape.aim_ms,
+        retry_safety: RetrySafety::AtMostOnce,
+        dedup_scope: DedupScope::All,
         key_ttl_ms: 0.0,
         late_share: 0.5,
         stream: false,
--- a/crates/edge/tests/stories.rs
+++ b/crates/edge/tests/stories.rs
@@ -2,7 +2,7 @@
 //! at all, clients that go, and the order to leave. The servers keep the book that the rule is checked by.
 
 use bytes::{Bytes, BytesMut};
-use nickeljunction_core::facade::Repeat;
+use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{Body, Dispatch, Exchange, Served, ServedBody};
 use nickeljunction_edge::figures::{Backend, Tuning};
@@ -167,7 +167,7 @@
 fn exchange(
     wheel: &Wheel,
     id: &str,
-    repeat: Repeat,
+    repeat: RetrySafety,
     patience_ms: f64,
 ) -> (Exchange, oneshot::Receiver<Answer<Served>>) {
     let mut head = BytesMut::from("GET /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: x\r\n\r\n");
@@ -249,7 +249,7 @@
     let leaves_at = if draws.bool() { draws.f64() * 400.0 } else { f64::INFINITY };
     let mut clients = JoinSet::new();
     for number in 0..REQUESTS {
-        let repeat = if draws.bool() { Repeat::Once } else { Repeat::Repeatable };
+        let repeat = if draws.bool() { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
         // Few have little time: on a busy machine that decides what becomes of them.
         let patience_ms = if draws.u8(..10) == 0 { 300.0 } else { 3_000.0 };
         let begin_ms = draws.f64() * 400.0;
@@ -290,7 +290,7 @@
     let mut tally = Tally::default();
     for (id, repeat, told) in ends {
         let line = book.lines.borrow().get(&id).copied().unwrap_or_default();
-        let once = repeat == Repeat::Once;
+        let once = repeat == RetrySafety::AtMostOnce;
         assert!(line.arrived <= MOST, "{id}: beyond the route's most: {line:?}");
         assert!(!once || line.ran <= 1, "{id}: ran twice: {line:?}");
         match told {
--- a/crates/gateway/src/cli/trace.rs
+++ b/crates/gateway/src/cli/trace.rs
@@ -576,7 +576,7 @@
 }
 
 fn settings(pairs: &[(String, String)]) -> Result<Settings, String> {
-    Line::of("settings", pairs).settings().map_err(|why| why.to_string())
+    Line::from_pairs("settings", pairs).settings().map_err(|why| why.to_string())
 }
 
 fn replay(files: &Files) -> Result<(), Failure> {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -169,7 +169,7 @@
             return error("settings.Permissions.MaxAttempts", "must be a whole number above 0");
         }
         for (at, class) in settings.classes.iter().enumerate() {
-            for (key, ms) in [("AimMs", class.aim_ms), ("GiveUpMs", class.give_up_ms)] {
+            for (key, ms) in [("AimMs", class.target_latency_ms), ("GiveUpMs", class.client_timeout_ms)] {
                 if !(ms > 0.0 && ms.is_finite()) {
                     return error(&format!("settings.Classes.{at}.{key}"), "must be a number of ms above 0");
                 }
@@ -219,10 +219,10 @@
         let Some(settings) = field(&root, "settings") else { return error("settings", "missing") };
         let mut pairs = Vec::new();
         flatten("", settings, &mut pairs);
-        let line = Line::of("settings", &pairs);
+        let line = Line::from_pairs("settings", &pairs);
         let fail = |why: nickeljunction_decide::wire::WireError| ConfigError {
             key: format!("settings.{}", why.field),
-            why: why.why,
+            why: why.reason,
         };
         let positive = |key: &str, default: f64| match line.number_or(key, default) {
             Ok(number) if number > 0.0 => Ok(number),
--- a/crates/gateway/src/front/caller.rs
+++ b/crates/gateway/src/front/caller.rs
@@ -22,7 +22,11 @@
     /// The bounds of these settings.
     pub fn of(settings: &Settings) -> Bounds {
         let plans = settings.plans.iter().map(|plan| plan.name.clone()).collect();
-        Bounds { plans, units_top: settings.units_top.max(1.0), siblings: settings.siblings.max(1) }
+        Bounds {
+            plans,
+            units_top: settings.max_request_units.max(1.0),
+            siblings: settings.gateway_count.max(1),
+        }
     }
 }
 
@@ -98,8 +102,9 @@
     use tokio_util::codec::Decoder;
 
     fn read(lines: &str) -> Result<Caller, TerminalReply> {
-        let plan = Plan { name: "p".into(), rate: 1.0, burst: 1.0, over_cost: 0.0, ..Plan::default() };
-        let settings = Settings { plans: vec![plan], units_top: 6.0, siblings: 4, ..Settings::default() };
+        let plan = Plan { name: "p".into(), rate: 1.0, burst: 1.0, excess_cost: 0.0, ..Plan::default() };
+        let settings =
+            Settings { plans: vec![plan], max_request_units: 6.0, gateway_count: 4, ..Settings::default() };
         let text = format!("GET /c/1 HTTP/1.1\r\n{lines}\r\n\r\n");
         let request = TerminalCodec::default().decode(&mut BytesMut::from(&text[..]));
         Caller::read(&request.expect("well formed").expect("whole"), &Bounds::of(&settings))
--- a/crates/gateway/src/front/openapi/mod.rs
+++ b/crates/gateway/src/front/openapi/mod.rs
@@ -12,7 +12,7 @@
 use crate::reception::Front;
 use miniserde::json::{self, Value};
 use nickeljunction_core::facade::{Class, Intake, Settings};
-use nickeljunction_decide::api::Repeat;
+use nickeljunction_decide::api::RetrySafety;
 use nickeljunction_http::{TerminalReply, TerminalRequest};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -127,8 +127,8 @@
             routes,
             undescribed,
             classes: settings.classes.clone(),
-            units_top: settings.units_top.max(1.0),
-            siblings: settings.siblings,
+            units_top: settings.max_request_units.max(1.0),
+            siblings: settings.gateway_count,
             bounds: Bounds::of(settings),
             logged: RefCell::default(),
             warnings,
@@ -154,7 +154,7 @@
 
 /// The class that may do the least harm: never run twice, and among such the first given up.
 fn most_cautious(classes: &[Class]) -> usize {
-    let rank = |class: &Class| (class.repeat != Repeat::Once, class.give_up_ms);
+    let rank = |class: &Class| (class.retry_safety != RetrySafety::AtMostOnce, class.client_timeout_ms);
     let order = |a: &usize, b: &usize| rank(&classes[*a]).partial_cmp(&rank(&classes[*b]));
     (0..classes.len()).min_by(|a, b| order(a, b).unwrap_or(std::cmp::Ordering::Equal)).unwrap_or(0)
 }
@@ -185,10 +185,10 @@
         let caller = Caller::read(request, &self.bounds)?;
         Ok(Intake {
             class: class.name.clone(),
-            never_twice: never_twice && class.repeat != Repeat::Once,
+            never_twice: never_twice && class.retry_safety != RetrySafety::AtMostOnce,
             plan: caller.plan,
             customer: caller.customer,
-            patience_ms: caller.patience_ms.unwrap_or(class.give_up_ms).min(class.give_up_ms),
+            patience_ms: caller.patience_ms.unwrap_or(class.client_timeout_ms).min(class.client_timeout_ms),
             units,
             doors: caller.doors.unwrap_or(self.siblings),
             retry: caller.retry,
--- a/crates/gateway/src/front/openapi/routes.rs
+++ b/crates/gateway/src/front/openapi/routes.rs
@@ -3,7 +3,7 @@
 use super::{fail, member, FrontError};
 use miniserde::json::{Number, Value};
 use nickeljunction_core::facade::Settings;
-use nickeljunction_decide::api::Repeat;
+use nickeljunction_decide::api::RetrySafety;
 use std::collections::BTreeMap;
 
 /// Methods that a description may have operations for and that are passed on.
@@ -212,10 +212,10 @@
     if banned {
         rule = RepeatRule::Never;
     }
-    let of_class = |repeat: Repeat| match repeat {
-        Repeat::Repeatable => RepeatRule::Safe,
-        Repeat::ByKey => RepeatRule::Keyed,
-        Repeat::Once => RepeatRule::Never,
+    let of_class = |repeat: RetrySafety| match repeat {
+        RetrySafety::Idempotent => RepeatRule::Safe,
+        RetrySafety::Keyed => RepeatRule::Keyed,
+        RetrySafety::AtMostOnce => RepeatRule::Never,
     };
     let class = match &draft.class {
         Some(wanted) => match settings.classes.iter().position(|class| class.name == *wanted) {
@@ -224,8 +224,8 @@
         },
         None => {
             // The loosest class that is strict enough; else the strictest, held to the rule all the same.
-            let fits = |at: &usize| of_class(settings.classes[*at].repeat) >= rule;
-            let strictness = |at: &usize| of_class(settings.classes[*at].repeat);
+            let fits = |at: &usize| of_class(settings.classes[*at].retry_safety) >= rule;
+            let strictness = |at: &usize| of_class(settings.classes[*at].retry_safety);
             let all = 0..settings.classes.len();
             let class = all.clone().filter(fits).min_by_key(strictness).or(all.max_by_key(strictness));
             match class {
@@ -234,10 +234,12 @@
             }
         }
     };
-    let strict = rule.max(of_class(settings.classes[class].repeat));
+    let strict = rule.max(of_class(settings.classes[class].retry_safety));
     rule = match strict {
         // Keyed needs both: a class that says for how long and where, and a key to go by.
-        RepeatRule::Keyed if settings.classes[class].repeat != Repeat::ByKey || !draft.key_required => {
+        RepeatRule::Keyed
+            if settings.classes[class].retry_safety != RetrySafety::Keyed || !draft.key_required =>
+        {
             RepeatRule::Never
         }
         other => other,
@@ -246,7 +248,7 @@
         let word = draft.repeat.as_deref().unwrap_or_default();
         warnings.push(format!("{name}: said to be '{word}', but held to '{rule:?}': only stricter is taken"));
     }
-    let top = settings.units_top.max(1.0);
+    let top = settings.max_request_units.max(1.0);
     let units = draft.units.unwrap_or(1.0);
     if !(units > 0.0 && units <= top) {
         return fail(&name, format!("{units} units: must be above 0 and at most {top}"));
--- a/crates/gateway/src/front/platform.rs
+++ b/crates/gateway/src/front/platform.rs
@@ -3,7 +3,7 @@
 use super::caller::{Bounds, Caller};
 use crate::reception::Front;
 use nickeljunction_core::facade::{Class, Intake, Settings};
-use nickeljunction_decide::api::Repeat;
+use nickeljunction_decide::api::RetrySafety;
 use nickeljunction_http::{TerminalReply, TerminalRequest};
 
 /// The platform's front.
@@ -19,7 +19,7 @@
     pub fn new(settings: &Settings) -> Platform {
         Platform {
             classes: settings.classes.clone(),
-            siblings: settings.siblings,
+            siblings: settings.gateway_count,
             bounds: Bounds::of(settings),
         }
     }
@@ -34,10 +34,10 @@
         };
         // The class promises what a repeat may do; a request that does not fit it must not be repeated on
         // the strength of that.
-        let (method, key) = match class.repeat {
-            Repeat::Repeatable => ("GET", false),
-            Repeat::ByKey => ("POST", true),
-            Repeat::Once => ("POST", false),
+        let (method, key) = match class.retry_safety {
+            RetrySafety::Idempotent => ("GET", false),
+            RetrySafety::Keyed => ("POST", true),
+            RetrySafety::AtMostOnce => ("POST", false),
         };
         if request.method != method {
             return Err(TerminalReply::text(405, "the class goes with another method\n"));
@@ -51,7 +51,7 @@
             never_twice: false,
             plan: caller.plan,
             customer: caller.customer,
-            patience_ms: caller.patience_ms.unwrap_or(class.give_up_ms).min(class.give_up_ms),
+            patience_ms: caller.patience_ms.unwrap_or(class.client_timeout_ms).min(class.client_timeout_ms),
             units: caller.units.unwrap_or(1.0),
             doors: caller.doors.unwrap_or(self.siblings),
             retry: caller.retry,
--- a/crates/gateway/src/live.rs
+++ b/crates/gateway/src/live.rs
@@ -231,7 +231,7 @@
         || more(old.burst, new.burst)
         || more(old.ceiling_rate, new.ceiling_rate)
         || more(old.ceiling_burst, new.ceiling_burst)
-        || more(old.at_once, new.at_once)
+        || more(old.max_concurrent, new.max_concurrent)
 }
 
 /// The front under a document: its own sections, or the single files where it has none.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -98,13 +98,13 @@
         wheel: Wheel,
         epoch: u32,
     ) -> Result<Rc<Peers>, String> {
-        let (roster, listen) = roster(section, &config.peers, config.settings.me)?;
+        let (roster, listen) = roster(section, &config.peers, config.settings.gateway_index)?;
         let mail_per_s =
             section.mail_per_s.or(Some(config.peers.mail_per_s).filter(|mail| *mail > 0.0)).unwrap_or(100.0);
         let addresses: HashMap<u16, SocketAddr> =
             roster.iter().filter_map(|place| Some((place.number, place.address?))).collect();
         let numbers = addresses.iter().map(|(number, address)| (*address, *number)).collect();
-        let me = config.settings.me as u16;
+        let me = config.settings.gateway_index as u16;
         // The configuration's seed may be the same at each start on installations of our own.
         let seed = config.seed ^ wheel.now().to_bits() ^ u64::from(std::process::id()) << 40;
         let config = nickeljunction_fleet::Config { me, roster, mail_per_s, epoch, seed };
--- a/crates/gateway/src/plugin.rs
+++ b/crates/gateway/src/plugin.rs
@@ -6,7 +6,7 @@
 
 use crate::reception::Front;
 use nickeljunction_core::facade::{Class, Intake, Settings};
-use nickeljunction_decide::api::Repeat;
+use nickeljunction_decide::api::RetrySafety;
 use nickeljunction_http::{TerminalReply, TerminalRequest};
 use rhai::{CallFnOptions, Dynamic, Engine, Map, Scope, AST};
 use std::cell::Cell;
@@ -40,11 +40,11 @@
     Refuse(f64),
 }
 
-fn strictness(repeat: Repeat) -> u8 {
+fn strictness(repeat: RetrySafety) -> u8 {
     match repeat {
-        Repeat::Repeatable => 0,
-        Repeat::ByKey => 1,
-        Repeat::Once => 2,
+        RetrySafety::Idempotent => 0,
+        RetrySafety::Keyed => 1,
+        RetrySafety::AtMostOnce => 2,
     }
 }
 
@@ -77,7 +77,7 @@
             engine,
             script,
             classes: settings.classes.clone(),
-            units_top: settings.units_top.max(1.0),
+            units_top: settings.max_request_units.max(1.0),
             passed_over: Cell::new(0),
             loosened: Cell::new(0),
         })
@@ -127,7 +127,8 @@
                 }
                 ("never_twice", _, Ok(true)) => {
                     let class = self.classes.iter().find(|class| class.name == intake.class);
-                    intake.never_twice |= class.is_some_and(|class| class.repeat != Repeat::Once);
+                    intake.never_twice |=
+                        class.is_some_and(|class| class.retry_safety != RetrySafety::AtMostOnce);
                 }
                 ("units", Some(units), _) if units >= intake.units => {
                     intake.units = units.min(self.units_top).max(intake.units)
@@ -146,10 +147,10 @@
         let find = |name: &str| self.classes.iter().find(|class| class.name == name);
         let wanted = value.clone().into_string().ok();
         match (find(&intake.class), wanted.as_deref().and_then(find)) {
-            (Some(now), Some(then)) if strictness(then.repeat) >= strictness(now.repeat) => {
+            (Some(now), Some(then)) if strictness(then.retry_safety) >= strictness(now.retry_safety) => {
                 // A class that is never run twice needs no twin that is not.
-                intake.never_twice &= then.repeat != Repeat::Once;
-                intake.patience_ms = intake.patience_ms.min(then.give_up_ms);
+                intake.never_twice &= then.retry_safety != RetrySafety::AtMostOnce;
+                intake.patience_ms = intake.patience_ms.min(then.client_timeout_ms);
                 intake.class = then.name.clone();
             }
             _ => self.note(&self.loosened, &format!("class {value} is left aside: unknown or looser")),
@@ -196,17 +197,17 @@
     fn settings() -> Settings {
         let class = |name: &str, repeat| Class {
             name: name.into(),
-            repeat,
-            aim_ms: 500.0,
-            give_up_ms: 1_000.0,
-            group: nickeljunction_decide::api::Group::All,
+            retry_safety: repeat,
+            target_latency_ms: 500.0,
+            client_timeout_ms: 1_000.0,
+            dedup_scope: nickeljunction_decide::api::DedupScope::All,
             key_ttl_ms: 1_000.0,
             late_share: 0.0,
             stream: false,
             worth: 1.0,
         };
-        let classes = vec![class("safe", Repeat::Repeatable), class("once", Repeat::Once)];
-        Settings { classes, units_top: 6.0, ..Settings::default() }
+        let classes = vec![class("safe", RetrySafety::Idempotent), class("once", RetrySafety::AtMostOnce)];
+        Settings { classes, max_request_units: 6.0, ..Settings::default() }
     }
 
     fn intake() -> Intake {
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -3,7 +3,7 @@
 //! trace itself says how much: the core loop never waits for a disk.
 
 use nickeljunction_core::facade::{Ending, Input, Report, RequestKey, Settings, Tap, Verdict};
-use nickeljunction_decide::wire::settings_pairs;
+use nickeljunction_decide::wire::settings_to_pairs;
 use nickeljunction_trace::block::Builder;
 use nickeljunction_trace::event::{Event, TICKS_PER_MS};
 use nickeljunction_trace::file::{Header, Writer};
@@ -73,7 +73,7 @@
 
     /// The module begins with these: what a replay needs.
     pub fn boot(&mut self, now: f64, name: &str, seed: u64, strict: bool, settings: &Settings) {
-        let (name, settings) = (name.to_string(), settings_pairs(settings));
+        let (name, settings) = (name.to_string(), settings_to_pairs(settings));
         self.add(now, &Event::Boot { name, seed, strict, settings });
     }
 
@@ -138,7 +138,7 @@
             Input::Tick => Event::Tick,
             Input::Retired => Event::Retired,
             Input::Tuned(settings, from, epoch) => {
-                Event::Tuned { epoch, settings: settings_pairs(settings), from }
+                Event::Tuned { epoch, settings: settings_to_pairs(settings), from }
             }
         };
         self.add(now, &event);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -334,7 +334,7 @@
     });
     let config = &base.config;
     // Where there is no counter to vote with, a gateway changes for itself alone.
-    let gateways = if config.settings.counter { config.settings.siblings } else { 1 };
+    let gateways = if config.settings.counter_enabled { config.settings.gateway_count } else { 1 };
     let (opened, boot) = match opened {
         None => (None, None),
         Some(opened) => {
@@ -460,7 +460,7 @@
         }
     };
     let mut backoff = match peers.clone() {
-        None => Backoff::new(config.settings.siblings, config.seed),
+        None => Backoff::new(config.settings.gateway_count, config.seed),
         Some(peers) => Backoff::among(Rc::new(move || peers.gateways()), config.seed),
     };
     let first_ms = if listed { backoff.start() } else { 0.0 };
--- a/crates/gateway/src/tally.rs
+++ b/crates/gateway/src/tally.rs
@@ -67,7 +67,8 @@
     /// anew; else what it knows of the time before stays.
     pub fn retune(&self, figures: &GuardFigures, settings: &Settings, epoch: Epoch) {
         self.epoch.set(epoch);
-        let classes = settings.classes.iter().map(|class| (class.name.clone(), class.aim_ms)).collect();
+        let classes =
+            settings.classes.iter().map(|class| (class.name.clone(), class.target_latency_ms)).collect();
         let plans: Vec<String> = settings.plans.iter().map(|plan| plan.name.clone()).collect();
         let mut names = self.names.borrow_mut();
         let new = names.plans != plans || names.classes.len() != settings.classes.len();
--- a/crates/trace/tests/worlds/mod.rs
+++ b/crates/trace/tests/worlds/mod.rs
@@ -2,8 +2,8 @@
 //! loses answers and lists that change. What it was told and decided is the trace.
 
 use nickeljunction_core::facade::{
-    Class, CounterReply, Facade, Group, Intake, Outcome, Plan, RegionEntry, RegionState, Repeat, Report,
-    ServiceTable, Settings, Verdict,
+    Class, CounterReply, DedupScope, Facade, Intake, Outcome, Plan, RegionEntry, RegionState, Report,
+    RetrySafety, ServiceTable, Settings, Verdict,
 };
 use nickeljunction_trace::event::{Ending, Event, TICKS_PER_MS};
 use nickeljunction_trace::replay::of_verdict;
@@ -12,10 +12,10 @@
 pub fn settings() -> Settings {
     let class = |name: &str, repeat| Class {
         name: name.into(),
-        aim_ms: 500.0,
-        give_up_ms: 2_000.0,
-        repeat,
-        group: Group::All,
+        target_latency_ms: 500.0,
+        client_timeout_ms: 2_000.0,
+        retry_safety: repeat,
+        dedup_scope: DedupScope::All,
         key_ttl_ms: 1_000.0,
         late_share: 0.0,
         stream: false,
@@ -25,37 +25,37 @@
         name: name.into(),
         rate,
         burst: rate * 3.0,
-        at_once: 0.0,
-        price: 1.0,
+        max_concurrent: 0.0,
+        worth_factor: 1.0,
         excess_worth: 0.0,
-        over_cost: 1.0,
+        excess_cost: 1.0,
         ceiling_rate: rate * ceiling,
         ceiling_burst: rate * ceiling * 3.0,
         ceiling_slack: ceiling,
     };
     Settings {
-        siblings: 3,
+        gateway_count: 3,
         zone: "east".into(),
         step_ms: 2.0,
         classes: vec![
-            class("safe", Repeat::Repeatable),
-            class("keyed", Repeat::ByKey),
-            class("once", Repeat::Once),
+            class("safe", RetrySafety::Idempotent),
+            class("keyed", RetrySafety::Keyed),
+            class("once", RetrySafety::AtMostOnce),
         ],
         plans: vec![plan("small", 2.0, 0.0), plan("large", 15.0, 2.0)],
-        counter: true,
+        counter_enabled: true,
         counter_timeout_ms: 30.0,
-        settles: true,
-        units_top: 6.0,
+        settles_units: true,
+        max_request_units: 6.0,
         may_cancel: true,
         max_attempts: 3,
         max_retry_after_ms: 2_000.0,
         retry_after: true,
-        cold_from: 0.2,
-        cold_ms: 5_000.0,
+        cold_start_share: 0.2,
+        warmup_ms: 5_000.0,
         drain_grace_ms: 1_000.0,
-        fall_multiple: 2.0,
-        fall_ms: 1_500.0,
+        overload_multiple: 2.0,
+        overload_ms: 1_500.0,
         ..Settings::default()
     }
 }
