--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,11 +1,11 @@
 //! The decision module and the simulator's wire. Sans-IO: events and the time come in, actions go out.
 
-mod age;
 pub mod api;
-mod book;
+mod attempt_counts;
 pub mod decide;
-mod figures;
-mod late;
+mod late_counts;
+mod plan_change;
+mod retry_age;
+mod settings_update;
 mod state;
-mod tune;
 pub mod wire;
