--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -14,7 +14,7 @@
     WatchAnswer, WatchCall,
 };
 use nickeljunction_net::wheel::Wheel;
-use nickeljunction_registry::{Applied, Beat, Copy, Refused};
+use nickeljunction_registry::{ApplyError, CatalogUpdate, Heartbeat, WatchCache};
 use nickeljunction_replica::{
     Answer, Change, Claimed, CoreView, Effects, Held, Lent, OperationView, Place, Replica, Round, Ticket,
     TrialView, Wish,
@@ -100,7 +100,7 @@
     }
 
     /// What was known of servers and gateways when this machine's process before ended.
-    pub fn remember(&self, copy: Copy) {
+    pub fn remember(&self, copy: WatchCache) {
         log::info!("event=hint_loaded term={} servers={}", copy.term(), copy.catalog().servers.len());
         self.house.borrow_mut().remember(copy);
     }
@@ -363,7 +363,7 @@
     ///
     /// # Errors
     /// See above.
-    pub fn beat(&self, id: &str, beat: &Beat) -> Result<Option<Round>, Elsewhere> {
+    pub fn beat(&self, id: &str, beat: &Heartbeat) -> Result<Option<Round>, Elsewhere> {
         self.turn(|house, now| house.beat(now, id, beat))
     }
 
@@ -406,7 +406,7 @@
     ///
     /// # Errors
     /// It leads back.
-    pub fn learned(&self, answer: WatchAnswer) -> Result<Applied, Refused> {
+    pub fn learned(&self, answer: WatchAnswer) -> Result<CatalogUpdate, ApplyError> {
         let now = self.now();
         self.house.borrow_mut().learned(now, answer)
     }
@@ -423,10 +423,10 @@
         let house = self.house.borrow();
         let (book, state, roster) = (house.book(), house.state(), house.roster());
         let servers = match house.leads() {
-            Some((register, _)) => register.tally(),
-            None => {
-                nickeljunction_registry::tally(house.copy().catalog().servers.values().map(|line| &**line))
-            }
+            Some((register, _)) => register.server_counts(),
+            None => nickeljunction_registry::count_servers(
+                house.copy().catalog().servers.values().map(|line| &**line),
+            ),
         };
         let mut shown = serde_json::json!({
             "node_name": self.place.name,
--- a/crates/controller/src/driver/metrics.rs
+++ b/crates/controller/src/driver/metrics.rs
@@ -177,10 +177,10 @@
         let house = self.house.borrow();
         let roster = house.roster();
         let servers = match house.leads() {
-            Some((register, _)) => register.tally(),
-            None => {
-                nickeljunction_registry::tally(house.copy().catalog().servers.values().map(|line| &**line))
-            }
+            Some((register, _)) => register.server_counts(),
+            None => nickeljunction_registry::count_servers(
+                house.copy().catalog().servers.values().map(|line| &**line),
+            ),
         };
         page.figure("controller_servers", Kind::Gauge, "Lives of servers, by service and state.");
         for (service, states) in servers.iter().take(MOST_LABELLED) {
@@ -198,7 +198,7 @@
     fn write_lead(&self, page: &mut Page) {
         let house = self.house.borrow();
         let now = self.now();
-        let standings = house.leads().map_or_else(Vec::new, |(register, _)| register.gateway_standings(now));
+        let standings = house.leads().map_or_else(Vec::new, |(register, _)| register.gateway_statuses(now));
         page.figure(
             "controller_gateway_config_version",
             Kind::Gauge,
--- a/crates/controller/src/hint.rs
+++ b/crates/controller/src/hint.rs
@@ -5,7 +5,7 @@
 //! shortly after. What it tells may be that much out of date, as any copy that a successor starts from; beats put it right.
 
 use nickeljunction_messages::WatchAnswer;
-use nickeljunction_registry::Copy;
+use nickeljunction_registry::WatchCache;
 use nickeljunction_replica::HINT_GOOD_MS;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
@@ -52,20 +52,20 @@
 }
 
 /// A hint as it stands on the disk; `None`: there is nothing worth writing.
-pub fn text(copy: &Copy, at: Moment) -> Option<Vec<u8>> {
-    if !copy.complete() {
+pub fn text(copy: &WatchCache, at: Moment) -> Option<Vec<u8>> {
+    if !copy.is_complete() {
         return None;
     }
-    serde_json::to_vec(&Stored { at, catalog: copy.whole() }).ok()
+    serde_json::to_vec(&Stored { at, catalog: copy.to_answer() }).ok()
 }
 
 /// The copy that a hint makes; `None`: it is unreadable, or not of these last seconds.
-pub fn read(text: &[u8], now: Moment) -> Option<Copy> {
+pub fn read(text: &[u8], now: Moment) -> Option<WatchCache> {
     let stored: Stored = serde_json::from_slice(text).ok()?;
     if !now.follows(stored.at, HINT_GOOD_MS) {
         return None;
     }
-    let mut copy = Copy::new();
+    let mut copy = WatchCache::new();
     copy.apply(stored.catalog).ok()?;
     Some(copy)
 }
@@ -90,7 +90,7 @@
 }
 
 /// Reads the hint of a data folder, if there is a good one.
-pub fn load(data: &Path) -> Option<Copy> {
+pub fn load(data: &Path) -> Option<WatchCache> {
     let place = place(data);
     if std::fs::metadata(&place).ok()?.len() > MOST {
         return None;
@@ -103,7 +103,7 @@
     use super::*;
     use nickeljunction_messages::{ServerLine, ServerState};
 
-    fn copy() -> Copy {
+    fn copy() -> WatchCache {
         let line = ServerLine {
             id: "i-1".into(),
             backend: "b".into(),
@@ -113,7 +113,7 @@
             state: ServerState::InService,
             cold: None,
         };
-        let mut copy = Copy::new();
+        let mut copy = WatchCache::new();
         let answer =
             WatchAnswer { term: 3, seq: 9, whole: true, servers: vec![line], ..WatchAnswer::default() };
         copy.apply(answer).expect("the first");
@@ -128,7 +128,7 @@
     fn a_hint_of_these_seconds_comes_back_and_any_other_does_not() {
         let text = text(&copy(), at(50_000, 900_000)).expect("a whole copy");
         let back = read(&text, at(51_500, 901_500)).expect("fresh");
-        assert_eq!((back.term(), back.seq(), back.complete()), (3, 9, true));
+        assert_eq!((back.term(), back.seq(), back.is_complete()), (3, 9, true));
         assert!(back.catalog().servers.contains_key("i-1"));
         assert!(read(&text, at(51_500, 100)).is_some(), "the time of day jumped");
         assert!(read(&text, at(700, 903_000)).is_some(), "another start of the machine, seconds later");
@@ -142,6 +142,6 @@
 
     #[test]
     fn a_copy_that_isnt_whole_is_no_hint() {
-        assert!(text(&Copy::new(), at(1, 1)).is_none());
+        assert!(text(&WatchCache::new(), at(1, 1)).is_none());
     }
 }
--- a/crates/controller/src/resources/inner.rs
+++ b/crates/controller/src/resources/inner.rs
@@ -192,7 +192,8 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (driver, mut jobs) = alone();
-            let ask = nickeljunction_registry::Copy::new().ask(Caller::Core, "core-2", 7, None, 0);
+            let ask =
+                nickeljunction_registry::WatchCache::new().watch_call(Caller::Core, "core-2", 7, None, 0);
             let call = Call {
                 method: "POST".into(),
                 target: "/watch".into(),
--- a/crates/controller/src/resources/instances.rs
+++ b/crates/controller/src/resources/instances.rs
@@ -4,7 +4,7 @@
 use crate::driver::Driver;
 use nickeljunction_messages::{Elsewhere, ServerState};
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
-use nickeljunction_registry::Beat;
+use nickeljunction_registry::Heartbeat;
 use serde::Deserialize;
 use std::rc::Rc;
 
@@ -40,7 +40,7 @@
     warmup_left_s: f64,
 }
 
-fn read(body: &[u8]) -> Result<Beat, String> {
+fn read(body: &[u8]) -> Result<Heartbeat, String> {
     let body: Body = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     if body.address.parse::<std::net::SocketAddr>().is_err() {
         return Err(format!("address: wants IP:PORT, got {:?}", body.address));
@@ -53,7 +53,7 @@
     if body.node_info.backend.is_empty() {
         return Err("node_info.backend: wants the name of a service".into());
     }
-    Ok(Beat {
+    Ok(Heartbeat {
         address: body.address,
         backend: body.node_info.backend,
         version: body.node_info.config_version.as_str().unwrap_or_default().to_string(),
--- a/crates/controller/src/resources/status.rs
+++ b/crates/controller/src/resources/status.rs
@@ -4,7 +4,7 @@
 use crate::driver::Driver;
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
 use nickeljunction_quota::{Counter, TenantStanding};
-use nickeljunction_registry::{state, GatewayStanding, Register, ServerStanding};
+use nickeljunction_registry::{state_name, GatewayStatus, Register, ServerStatus};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,25 +26,25 @@
 /// Adds what only a leader knows: `gateways` with their versions, `lives` of servers, `units` by tenant, `gathering`
 /// and `config_age_ms`.
 pub(crate) fn add_lead(shown: &mut Value, register: &Register, counter: &Counter, now: u64) {
-    shown["gateways"] = register.gateway_standings(now).iter().map(gateway).collect();
-    shown["lives"] = register.server_standings(now).iter().map(life).collect();
+    shown["gateways"] = register.gateway_statuses(now).iter().map(gateway).collect();
+    shown["lives"] = register.server_statuses(now).iter().map(life).collect();
     shown["units"] = units(&counter.standings(now));
-    shown["gathering"] = register.gathering().into();
+    shown["gathering"] = register.is_gathering().into();
     shown["config_age_ms"] = register.config_age(now).into();
 }
 
 /// `version`: of the configuration that it has, null until it has called; `away_ms`: null while it is there.
-fn gateway(standing: &GatewayStanding) -> Value {
+fn gateway(standing: &GatewayStatus) -> Value {
     let line = &standing.line;
     json!({"name": line.name, "front": line.front, "zone": line.zone, "ready": line.ready,
         "version": standing.version, "away_ms": standing.away_ms})
 }
 
 /// `permit`: the gateway that may send to a cold server, empty for none, null where it is warm.
-fn life(standing: &ServerStanding) -> Value {
+fn life(standing: &ServerStatus) -> Value {
     let line = &standing.line;
     json!({"id": line.id, "service": line.backend, "zone": line.zone, "address": line.address, "slots": line.slots,
-        "state": state(line), "permit": line.cold, "silent_ms": standing.silent_ms})
+        "state": state_name(line), "permit": line.cold, "silent_ms": standing.silent_ms})
 }
 
 /// Units by tenant: `ended` and `unheard` are held back for lives that are over or have not told yet.
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -3,8 +3,8 @@
 use crate::standing::{Known, Life};
 use crate::status::table;
 use nickeljunction_messages::{ServerLine, ServerState};
-use nickeljunction_registry::{barred, Bar};
-use nickeljunction_routing::{at_home, near, priority, Found, Table, Tenant};
+use nickeljunction_registry::{send_block, SendBlock};
+use nickeljunction_routing::{distance, priority, region_allowed, RouteMatch, Table, Tenant};
 use nickeljunction_schema::Config;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
     );
     let found = compiled.find(&ask.host, &ask.path);
     let name = match &found {
-        Found::Route(route) => route.name.to_string(),
+        RouteMatch::Route(route) => route.name.to_string(),
         _ => String::new(),
     };
     let name = &name[..];
@@ -109,7 +109,7 @@
         told.note(PASSED, format!("{}: {prefix:?} {why}", route.name), Value::Null);
     }
     let passed = told.notes.split_off(2);
-    let Found::Route(route) = found else {
+    let RouteMatch::Route(route) = found else {
         told.note("route", "none".into(), Value::Null);
         told.notes.extend(passed);
         return told.refuse(404, "no such route");
@@ -132,8 +132,8 @@
     let text = format!("held for {} ms at most, aim {} ms", route.timeout_ms, route.aim_ms);
     told.note("time", text, json!({"timeout_ms": route.timeout_ms, "aim_ms": route.aim_ms}));
     let mut tenant = None;
-    if compiled.wants_key(&route) {
-        tenant = ask.key.as_deref().and_then(|key| compiled.holder(key).cloned());
+    if compiled.requires_key(&route) {
+        tenant = ask.key.as_deref().and_then(|key| compiled.tenant_by_key(key).cloned());
         let text = match (&ask.key, &tenant) {
             (None, _) => "wanted, none given".to_string(),
             (Some(_), None) => "wanted; the one given is unknown".to_string(),
@@ -190,7 +190,7 @@
         let region = |zone: &str| known.zones.get(zone).map_or("", String::as_str);
         let here = from.map(|zone| (zone, region(zone)));
         let unbarred = |id: &str, life: &Life| match bar(known, id, life, here) {
-            None => at_home(region(&life.zone), homes),
+            None => region_allowed(region(&life.zone), homes),
             Some(_) => false,
         };
         // A gateway leaves its region where that has no warm slot, or too few.
@@ -203,11 +203,11 @@
             let there = region(&life.zone);
             let why = match (bar(known, id, life, here), here) {
                 (Some(why), _) => format!("no: {why}"),
-                (None, _) if !at_home(there, homes) => "no: its region is no home".into(),
+                (None, _) if !region_allowed(there, homes) => "no: its region is no home".into(),
                 (None, here) => {
                     taken += 1;
                     let cold = if life.permit.is_some() { ", at the rate of a cold one" } else { "" };
-                    let place = match here.map(|here| near((&life.zone, there), here)) {
+                    let place = match here.map(|here| distance((&life.zone, there), here)) {
                         None => "",
                         Some(0) => ", in the gateway's zone",
                         Some(1) => ", in its region",
@@ -251,11 +251,11 @@
     };
     // The gateway is known by its zone alone: it may be the one that holds the permit.
     let gateway = if holds { holder } else { "-" };
-    Some(match barred(&line, gateway, |zone| known.evacuated.contains(zone))? {
-        Bar::Draining => "it leaves".into(),
-        Bar::Evacuated => "its zone is evacuated".into(),
-        Bar::Cold(Some(holder)) => format!("cold, and only {holder} has the permit"),
-        Bar::Cold(None) => "cold, and no gateway has the permit yet".into(),
+    Some(match send_block(&line, gateway, |zone| known.evacuated.contains(zone))? {
+        SendBlock::Draining => "it leaves".into(),
+        SendBlock::Evacuated => "its zone is evacuated".into(),
+        SendBlock::Cold(Some(holder)) => format!("cold, and only {holder} has the permit"),
+        SendBlock::Cold(None) => "cold, and no gateway has the permit yet".into(),
     })
 }
 
--- a/crates/edge/src/front.rs
+++ b/crates/edge/src/front.rs
@@ -8,7 +8,7 @@
 use crate::ebb::Slow;
 use crate::exchange::{Admission, Admitted, Body, Dispatch, Exchange};
 use crate::reply::{Own, Reply};
-use crate::table::{self, Found, Route, Swap, Table, Tenant};
+use crate::table::{self, Route, RouteMatch, Swap, Table, Tenant};
 use nickeljunction_core::facade::Repeat;
 use nickeljunction_core::life::Answer;
 use nickeljunction_http::stream::RequestHead;
@@ -284,9 +284,9 @@
     /// A request of repeatable kind, as far as known: it may be handed on while others before it are unanswered.
     fn repeats(&self, head: &RequestHead) -> bool {
         match self.table.get().find(head.host(), head.path()) {
-            Found::Route(route) => route.repeatable,
+            RouteMatch::Route(route) => route.repeatable,
             // Its answer is the gateway's own.
-            Found::Nothing | Found::Unknown => true,
+            RouteMatch::NotFound | RouteMatch::NotLoaded => true,
         }
     }
 
@@ -304,17 +304,17 @@
         };
         let table = self.table.get();
         let route = match table.find(head.host(), head.path()) {
-            Found::Route(route) => route,
-            Found::Unknown => {
+            RouteMatch::Route(route) => route,
+            RouteMatch::NotLoaded => {
                 return Err(Own::refusal(503, "configuration not here yet", CONFIGURATION_PAUSE_MS))
             }
             // A machine out of touch may lack the newest routes.
-            Found::Nothing => {
+            RouteMatch::NotFound => {
                 let stale = self.stale("out of touch with the core, route not known here");
                 return Err(stale.unwrap_or(Own::new(404, "no such route")));
             }
         };
-        let tenant = match table.wants_key(&route) {
+        let tenant = match table.requires_key(&route) {
             true => Some(self.holder(&table, head)?),
             false => None,
         };
@@ -353,7 +353,7 @@
         let key = line.and_then(|line| line.split_once(' '));
         let key = key.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer")).map(|(_, key)| key.trim());
         let key = key.ok_or(Own::new(401, "no key"))?;
-        table.holder(key).cloned().ok_or(Own::new(401, "unknown key"))
+        table.tenant_by_key(key).cloned().ok_or(Own::new(401, "unknown key"))
     }
 
     fn stale(&self, error: &'static str) -> Option<Own> {
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -18,7 +18,7 @@
 use nickeljunction_net::figures::MOST_LABELLED;
 use nickeljunction_net::wheel::Wheel;
 use nickeljunction_quota::{Allowance, Holding, Limit, Spend};
-use nickeljunction_registry::{Copy, Leave, Refused};
+use nickeljunction_registry::{ApplyError, SendLimit, WatchCache};
 use nickeljunction_schema::{Bounds, Config, Document};
 use serde::{de::DeserializeOwned, Serialize};
 use std::cell::{Cell, RefCell};
@@ -83,7 +83,7 @@
     table: Rc<Swap<Table>>,
     proxy: Rc<Proxy>,
     watcher: RefCell<Watcher>,
-    copy: RefCell<Copy>,
+    copy: RefCell<WatchCache>,
     allowance: RefCell<Allowance>,
     lease: RefCell<Lease>,
     ebb: Rc<Ebb>,
@@ -130,7 +130,7 @@
             table,
             proxy,
             watcher,
-            copy: RefCell::new(Copy::new()),
+            copy: RefCell::new(WatchCache::new()),
             allowance: RefCell::new(allowance),
             lease: RefCell::new(lease),
             ebb,
@@ -288,7 +288,7 @@
         let place = &self.own.place;
         let (front, zone) = (self.own.front.clone(), place.zone.clone());
         let line = GatewayLine { name: place.name.clone(), front, zone, ready: self.ready() };
-        let mut ask = self.copy.borrow().ask(
+        let mut ask = self.copy.borrow().watch_call(
             nickeljunction_messages::Caller::Gateway,
             &place.name,
             self.own.life,
@@ -338,7 +338,9 @@
         let applied = match self.copy.borrow_mut().apply(answer) {
             Ok(applied) => applied,
             // The next call is answered by a difference to what is held by now, or by the whole.
-            Err(Refused::Seq(..) | Refused::Base(..) | Refused::Digest(..)) => return Ended::Overtaken,
+            Err(ApplyError::StaleSeq(..) | ApplyError::BaseMismatch(..) | ApplyError::DigestMismatch(..)) => {
+                return Ended::Overtaken
+            }
             Err(error) => {
                 log::warn!("event=answer_refused step=watch peer={from} error={:?}", error.to_string());
                 return Ended::Failed;
@@ -347,7 +349,7 @@
         self.lease.borrow_mut().answered(sent, age);
         let now = self.wheel.now();
         let catalog = self.copy.borrow().catalog();
-        if applied.leader {
+        if applied.new_leader {
             log::info!("event=leader peer={from} term={}", self.copy.borrow().term());
             self.allowance.borrow_mut().moved(now as u64, self.copy.borrow().term());
             self.add_due.ring();
@@ -371,13 +373,17 @@
             self.ebb.told(&applied.trials, config.as_ref());
         }
         if applied.gateways {
-            self.proxy.fleet(catalog.gateways);
-            self.allowance.borrow_mut().fleet(catalog.gateways);
+            self.proxy.fleet(catalog.gateway_count);
+            self.allowance.borrow_mut().fleet(catalog.gateway_count);
         }
         if applied.core {
-            self.watcher.borrow_mut().known(&catalog.core);
+            self.watcher.borrow_mut().known(&catalog.core_hosts);
         }
-        if applied.config || applied.evacuated || !applied.servers.is_empty() || !applied.gone.is_empty() {
+        if applied.config
+            || applied.evacuated
+            || !applied.servers.is_empty()
+            || !applied.removed_servers.is_empty()
+        {
             self.tell_servers();
         }
         if !ready && self.ready() {
@@ -390,7 +396,9 @@
 
     fn configure(&self, config: &Config) {
         let table = Table::of(config);
-        if let Some(apart) = table.apart().filter(|apart| self.table.get().apart() != Some(*apart)) {
+        if let Some(apart) =
+            table.disjoint_homes().filter(|apart| self.table.get().disjoint_homes() != Some(*apart))
+        {
             log::warn!(
                 "event=no_common_home pairs={} route={:?} tenant={:?}",
                 apart.pairs,
@@ -426,16 +434,16 @@
         let line = |line: &Rc<ServerLine>| {
             let mut line = ServerLine::clone(line);
             if line.cold.as_ref() == Some(name) {
-                match Leave::of(&line, name, known_ms) {
-                    Leave::Nothing => line.cold = Some(String::new()),
-                    Leave::AtRate | Leave::Full => permits = true,
+                match SendLimit::of(&line, name, known_ms) {
+                    SendLimit::Blocked => line.cold = Some(String::new()),
+                    SendLimit::WarmupRate | SendLimit::Unlimited => permits = true,
                 }
             }
             line
         };
         let lines: Vec<ServerLine> = catalog.servers.values().map(line).collect();
         self.permits_told.set(permits);
-        let evacuated: Vec<String> = catalog.evacuated.iter().cloned().collect();
+        let evacuated: Vec<String> = catalog.evacuated_zones.iter().cloned().collect();
         let zones = self.own.zones.iter().map(|(zone, region)| (zone.clone(), region.clone())).collect();
         self.proxy.servers(&lines, &evacuated, &zones);
     }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -211,7 +211,7 @@
         let place = Place { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
         let budget = Budget::new(64);
         let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), 1, Tuning::default());
-        let table = Rc::new(Swap::new(Table::unknown()));
+        let table = Rc::new(Swap::new(Table::empty()));
         let own = Own {
             place,
             front: "127.0.0.1:1".into(),
--- a/crates/edge/src/resolve.rs
+++ b/crates/edge/src/resolve.rs
@@ -3,7 +3,7 @@
 use crate::link::Link;
 use nickeljunction_messages::GatewayLine;
 use nickeljunction_net::desk::{percent_decoded, Answering, Call, Resource, Response};
-use nickeljunction_registry::{directory, Client};
+use nickeljunction_registry::{nearby_gateways, Client};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -41,7 +41,7 @@
             if self.link.out_of_touch() {
                 roster = Rc::new(others(&roster, self.link.name()));
             }
-            let addresses = directory(&roster, &client, self.link.zones(), dice);
+            let addresses = nearby_gateways(&roster, &client, self.link.zones(), dice);
             if addresses.is_empty() {
                 return Response::error(503, "no gateway is known here yet").with("Retry-After", "0.3");
             }
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -103,7 +103,7 @@
         ..Tuning::default()
     };
     let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), dice.u64(..), tuning);
-    let table = Rc::new(Swap::new(Table::unknown()));
+    let table = Rc::new(Swap::new(Table::empty()));
     let caller = Caller::new(wheel.clone());
     let life = dice.u64(..);
     let own = Own {
--- a/crates/edge/src/table.rs
+++ b/crates/edge/src/table.rs
@@ -1,6 +1,6 @@
 //! The configuration as the clients' side uses it: a table that is compiled once a version and swapped whole.
 
-pub use nickeljunction_routing::{priority, Bounds, Found, Route, Table, Tenant};
+pub use nickeljunction_routing::{priority, Bounds, Route, RouteMatch, Table, Tenant};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Which servers a gateway sends to, and how near they are. Pure functions over what the core tells.
 
 use nickeljunction_messages::ServerLine;
-use nickeljunction_registry::barred;
+use nickeljunction_registry::send_block;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -63,7 +63,7 @@
     regions: &HashMap<String, String>,
     here: &Place,
 ) -> Vec<Upstream> {
-    let fits = |line: &&ServerLine| barred(line, &here.name, |zone| evacuated.contains(zone)).is_none();
+    let fits = |line: &&ServerLine| send_block(line, &here.name, |zone| evacuated.contains(zone)).is_none();
     let upstream = |line: &ServerLine| {
         let address = line.address.parse();
         if address.is_err() {
@@ -99,7 +99,7 @@
 
 /// How near a server is: 0 in the own zone, 1 in the own region, 2 elsewhere.
 pub fn near(upstream: &Upstream, here: &Place) -> u8 {
-    nickeljunction_routing::near((&upstream.zone, &upstream.region), (&here.zone, &here.region))
+    nickeljunction_routing::distance((&upstream.zone, &upstream.region), (&here.zone, &here.region))
 }
 
 /// The weight of a server for requests with these homes; `None`: it is not to be used. `wide`: other regions are.
@@ -121,7 +121,7 @@
 }
 
 fn allowed(upstream: &Upstream, homes: &[String]) -> bool {
-    nickeljunction_routing::at_home(&upstream.region, homes)
+    nickeljunction_routing::region_allowed(&upstream.region, homes)
 }
 
 #[cfg(test)]
--- a/crates/edge/tests/link_world/mod.rs
+++ b/crates/edge/tests/link_world/mod.rs
@@ -32,7 +32,7 @@
         zones: Default::default(),
         directory: false,
     };
-    let table = Rc::new(Swap::new(Table::unknown()));
+    let table = Rc::new(Swap::new(Table::empty()));
     let seeds = vec!["127.0.0.1".into()];
     Link::new(own, wheel.clone(), Caller::new(wheel.clone()), table, proxy, seeds, 1)
 }
--- a/crates/registry/src/catalog.rs
+++ b/crates/registry/src/catalog.rs
@@ -19,16 +19,16 @@
     /// Lives of servers by id.
     pub servers: Rc<BTreeMap<Rc<str>, Rc<ServerLine>>>,
     /// Zones to whose servers nothing is to be sent.
-    pub evacuated: Rc<BTreeSet<String>>,
+    pub evacuated_zones: Rc<BTreeSet<String>>,
     /// The newest configuration.
     pub config: Option<Rc<ConfigLine>>,
     /// How many gateways there are; rather too many than too few. 0: not told yet.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// IP addresses of the core's machines.
-    pub core: Rc<Vec<String>>,
+    pub core_hosts: Rc<Vec<String>>,
     /// All gateways; told to core members, and to gateways that serve the directory.
     pub roster: Rc<Vec<GatewayLine>>,
-    /// Step and stage of each tenant whose trial ever changed. From when they hold is told once, in [`Applied::trials`].
+    /// Step and stage of each tenant whose trial ever changed. From when they hold is told once, in [`CatalogUpdate::trials`].
     pub trials: Rc<BTreeMap<String, (u64, u32)>>,
 }
 
@@ -41,34 +41,34 @@
 
 /// How much a gateway may send to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Leave {
+pub enum SendLimit {
     /// As much as it takes: the server is warm.
-    Full,
+    Unlimited,
     /// At the configured rate of a cold server.
-    AtRate,
+    WarmupRate,
     /// Nothing.
-    Nothing,
+    Blocked,
 }
 
-impl Leave {
+impl SendLimit {
     /// What `gateway` may send to the server of `line`. `known_ms` is the age of its knowledge: the time since the
     /// newest answered watch call was *sent*, and that answer's `age_ms`. A permit ends with [`PERMIT_LIFE_MS`], for
     /// the leader hands it to another gateway after that.
-    pub fn of(line: &ServerLine, gateway: &str, known_ms: u64) -> Leave {
+    pub fn of(line: &ServerLine, gateway: &str, known_ms: u64) -> SendLimit {
         match (&line.state, &line.cold) {
-            (ServerState::Draining, _) => Leave::Nothing,
-            (ServerState::InService, None) => Leave::Full,
+            (ServerState::Draining, _) => SendLimit::Blocked,
+            (ServerState::InService, None) => SendLimit::Unlimited,
             (ServerState::InService, Some(holder)) if holder == gateway && known_ms < PERMIT_LIFE_MS => {
-                Leave::AtRate
+                SendLimit::WarmupRate
             }
-            (ServerState::InService, Some(_)) => Leave::Nothing,
+            (ServerState::InService, Some(_)) => SendLimit::Blocked,
         }
     }
 }
 
 /// Why a gateway sends nothing to a server, whatever the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Bar {
+pub enum SendBlock {
     /// It leaves.
     Draining,
     /// Its zone is evacuated.
@@ -78,13 +78,13 @@
 }
 
 /// What keeps `gateway` from sending to the server of `line`; `None`: nothing. How old a permit is counts besides, see
-/// [`Leave::of`].
-pub fn barred(line: &ServerLine, gateway: &str, evacuated: impl Fn(&str) -> bool) -> Option<Bar> {
+/// [`SendLimit::of`].
+pub fn send_block(line: &ServerLine, gateway: &str, evacuated: impl Fn(&str) -> bool) -> Option<SendBlock> {
     match (&line.state, &line.cold) {
-        (ServerState::Draining, _) => Some(Bar::Draining),
-        _ if evacuated(&line.zone) => Some(Bar::Evacuated),
+        (ServerState::Draining, _) => Some(SendBlock::Draining),
+        _ if evacuated(&line.zone) => Some(SendBlock::Evacuated),
         (_, Some(holder)) if holder != gateway => {
-            Some(Bar::Cold(Some(holder.clone()).filter(|name| !name.is_empty())))
+            Some(SendBlock::Cold(Some(holder.clone()).filter(|name| !name.is_empty())))
         }
         _ => None,
     }
@@ -92,11 +92,11 @@
 
 /// What an answer changed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Applied {
+pub struct CatalogUpdate {
     /// Lives that came or changed.
     pub servers: Vec<Rc<str>>,
     /// Lives that went.
-    pub gone: Vec<Rc<str>>,
+    pub removed_servers: Vec<Rc<str>>,
     /// There is a newer configuration.
     pub config: bool,
     /// Other zones are evacuated.
@@ -110,14 +110,14 @@
     /// Trials with a higher step than was held.
     pub trials: Vec<TrialLine>,
     /// The answer came from another leader than the one before.
-    pub leader: bool,
+    pub new_leader: bool,
 }
 
-impl Applied {
+impl CatalogUpdate {
     /// The catalog is another one than before.
-    pub fn any(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         !self.servers.is_empty()
-            || !self.gone.is_empty()
+            || !self.removed_servers.is_empty()
             || self.config
             || self.evacuated
             || self.gateways
@@ -130,25 +130,25 @@
 quick_error! {
     /// An answer that was not applied, for it leads back.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum Refused {
+    pub enum ApplyError {
         /// From a leader whose successor has been heard.
-        Term(held: u64, seen: u64) {
+        StaleTerm(held: u64, seen: u64) {
             display("applying an answer: its term {} is older than {}", seen, held)
         }
         /// Older than one of the same leader that was applied.
-        Seq(held: u64, seen: u64) {
+        StaleSeq(held: u64, seen: u64) {
             display("applying an answer: its number {} is older than {}", seen, held)
         }
         /// With an older configuration.
-        Config(held: u64, seen: u64) {
+        StaleConfig(held: u64, seen: u64) {
             display("applying an answer: its configuration {} is older than {}", seen, held)
         }
         /// With a difference to another version of the configuration than is held.
-        Base(held: u64, from: u64) {
+        BaseMismatch(held: u64, from: u64) {
             display("applying an answer: its difference is to configuration {}, held is {}", from, held)
         }
         /// With a difference that makes another document than the leader's.
-        Digest(version: u64) {
+        DigestMismatch(version: u64) {
             display("applying an answer: its difference makes another configuration {} than the leader's", version)
         }
     }
@@ -156,7 +156,7 @@
 
 /// What one watcher holds. Terms, numbers and versions only rise in its life.
 #[derive(Debug, Clone, Default)]
-pub struct Copy {
+pub struct WatchCache {
     catalog: Rc<Catalog>,
     term: u64,
     seq: u64,
@@ -172,10 +172,10 @@
     whole_config: bool,
 }
 
-impl Copy {
+impl WatchCache {
     /// One that holds nothing.
-    pub fn new() -> Copy {
-        Copy::default()
+    pub fn new() -> WatchCache {
+        WatchCache::default()
     }
 
     /// The present snapshot.
@@ -194,7 +194,7 @@
     }
 
     /// A leader that knew all lives has told them all: no life is missing for want of a beat.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.complete
     }
 
@@ -204,16 +204,16 @@
     }
 
     /// All that is held but the configuration, as the answer that makes a copy of it.
-    pub fn whole(&self) -> WatchAnswer {
+    pub fn to_answer(&self) -> WatchAnswer {
         let catalog = &self.catalog;
         WatchAnswer {
             term: self.term,
             seq: self.seq,
             whole: self.complete,
-            evacuated: Some(catalog.evacuated.iter().cloned().collect()),
+            evacuated: Some(catalog.evacuated_zones.iter().cloned().collect()),
             servers: catalog.servers.values().map(|line| ServerLine::clone(line)).collect(),
-            gateways: Some(catalog.gateways),
-            core: Some(catalog.core.to_vec()),
+            gateways: Some(catalog.gateway_count),
+            core: Some(catalog.core_hosts.to_vec()),
             roster: Some(catalog.roster.to_vec()),
             trials: (!catalog.trials.is_empty()).then(|| catalog.trials.iter().map(line).collect()),
             ..WatchAnswer::default()
@@ -222,7 +222,7 @@
 
     /// The call that asks for what is new. `line` is to be set in the first call on each new connection, to each new
     /// leader, and whenever it changed.
-    pub fn ask(
+    pub fn watch_call(
         &self,
         who: Caller,
         name: &str,
@@ -251,14 +251,14 @@
     fn config_of(
         &self,
         answer: &mut WatchAnswer,
-    ) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, Refused> {
+    ) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, ApplyError> {
         let held = self.catalog.version();
         if let Some(change) = answer.change.take() {
             return self.changed(&change);
         }
         let Some(config) = answer.config.take() else { return Ok(None) };
         if config.version < held {
-            return Err(Refused::Config(held, config.version));
+            return Err(ApplyError::StaleConfig(held, config.version));
         }
         if config.version == held && !self.whole_config {
             return Ok(None);
@@ -267,10 +267,10 @@
         Ok(Some((config, digest)))
     }
 
-    fn changed(&self, change: &ConfigChange) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, Refused> {
+    fn changed(&self, change: &ConfigChange) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, ApplyError> {
         let version = self.catalog.version();
         if change.version < version {
-            return Err(Refused::Config(version, change.version));
+            return Err(ApplyError::StaleConfig(version, change.version));
         }
         // Another answer was faster.
         if change.version == version && !self.whole_config {
@@ -278,36 +278,36 @@
         }
         let held =
             self.catalog.config.as_ref().filter(|held| held.version == change.from && !self.whole_config);
-        let Some(held) = held else { return Err(Refused::Base(version, change.from)) };
+        let Some(held) = held else { return Err(ApplyError::BaseMismatch(version, change.from)) };
         let mut doc = held.doc.clone();
         let digest = change.difference.apply(&mut doc, self.digest);
         if digest != change.digest {
-            return Err(Refused::Digest(change.version));
+            return Err(ApplyError::DigestMismatch(change.version));
         }
         Ok(Some((Rc::new(ConfigLine { version: change.version, doc }), digest)))
     }
 
-    /// Takes an answer to a call made by [`Copy::ask`]; nothing changes where it is refused, but that the next call asks for
+    /// Takes an answer to a call made by [`WatchCache::watch_call`]; nothing changes where it is refused, but that the next call asks for
     /// the whole configuration where a difference didn't fit.
-    pub fn apply(&mut self, mut answer: WatchAnswer) -> Result<Applied, Refused> {
+    pub fn apply(&mut self, mut answer: WatchAnswer) -> Result<CatalogUpdate, ApplyError> {
         if answer.term < self.term {
-            return Err(Refused::Term(self.term, answer.term));
+            return Err(ApplyError::StaleTerm(self.term, answer.term));
         }
         let turn = answer.term > self.term;
         if !turn && answer.seq < self.seq {
-            return Err(Refused::Seq(self.seq, answer.seq));
+            return Err(ApplyError::StaleSeq(self.seq, answer.seq));
         }
         let config = self.config_of(&mut answer).inspect_err(|refused| {
-            self.whole_config |= matches!(refused, Refused::Digest(_));
+            self.whole_config |= matches!(refused, ApplyError::DigestMismatch(_));
         })?;
-        let mut applied = Applied { leader: turn, ..Applied::default() };
+        let mut applied = CatalogUpdate { new_leader: turn, ..CatalogUpdate::default() };
         let mut catalog = Catalog::clone(&self.catalog);
         let mut withdrawn = BTreeSet::new();
         if let Some(zones) = answer.evacuated {
             let zones: BTreeSet<String> = zones.into_iter().collect();
-            if zones != *catalog.evacuated {
-                withdrawn = catalog.evacuated.difference(&zones).cloned().collect();
-                catalog.evacuated = Rc::new(zones);
+            if zones != *catalog.evacuated_zones {
+                withdrawn = catalog.evacuated_zones.difference(&zones).cloned().collect();
+                catalog.evacuated_zones = Rc::new(zones);
                 applied.evacuated = true;
             }
         }
@@ -325,12 +325,12 @@
             (self.digest, self.whole_config) = (digest, false);
             applied.config = true;
         }
-        if let Some(count) = answer.gateways.filter(|count| *count != catalog.gateways) {
-            catalog.gateways = count;
+        if let Some(count) = answer.gateways.filter(|count| *count != catalog.gateway_count) {
+            catalog.gateway_count = count;
             applied.gateways = true;
         }
-        if let Some(hosts) = answer.core.filter(|hosts| *hosts != *catalog.core) {
-            catalog.core = Rc::new(hosts);
+        if let Some(hosts) = answer.core.filter(|hosts| *hosts != *catalog.core_hosts) {
+            catalog.core_hosts = Rc::new(hosts);
             applied.core = true;
         }
         let change = answer.roster_change.map(|change| roster::changed(&catalog.roster, change));
@@ -349,7 +349,7 @@
             );
         }
         self.gone.retain(|id| !catalog.servers.contains_key(id));
-        self.gone.extend(applied.gone.iter().cloned());
+        self.gone.extend(applied.removed_servers.iter().cloned());
         let surplus = self.gone.len().saturating_sub(MOST_GONE);
         self.gone.drain(..surplus);
         self.term = answer.term;
@@ -358,7 +358,7 @@
         if answer.whole {
             self.whole_term = answer.term;
         }
-        if applied.any() {
+        if applied.has_changes() {
             self.catalog = Rc::new(catalog);
         }
         Ok(applied)
@@ -384,7 +384,7 @@
         self,
         held: &BTreeMap<Rc<str>, Rc<ServerLine>>,
         withdrawn: &BTreeSet<String>,
-        applied: &mut Applied,
+        applied: &mut CatalogUpdate,
     ) -> BTreeMap<Rc<str>, Rc<ServerLine>> {
         let mut table = if self.whole { BTreeMap::new() } else { held.clone() };
         for id in &self.gone {
@@ -419,7 +419,7 @@
                 applied.servers.push(id.clone());
             }
         }
-        applied.gone.extend(held.keys().filter(|id| !table.contains_key(*id)).cloned());
+        applied.removed_servers.extend(held.keys().filter(|id| !table.contains_key(*id)).cloned());
         table
     }
 }
--- a/crates/registry/src/changes.rs
+++ b/crates/registry/src/changes.rs
@@ -23,12 +23,12 @@
 
 /// The last versions' changes, oldest first; each begins where the one before ended. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct Changes {
+pub struct ConfigHistory {
     steps: VecDeque<Step>,
     places: usize,
 }
 
-impl Changes {
+impl ConfigHistory {
     /// Version `to` was made of `from` by a difference in `places`.
     pub fn push(&mut self, from: u64, to: u64, places: BTreeSet<Place>) {
         if self.steps.back().is_some_and(|last| last.to != from) {
@@ -44,7 +44,7 @@
 
     /// Nothing is known any more: the document came whole.
     pub fn clear(&mut self) {
-        *self = Changes::default();
+        *self = ConfigHistory::default();
     }
 
     /// What leads from version `from` to `doc`, which is version `to`. `None`: that is not known, or is no less than the
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// Most addresses that an answer may hold.
-pub const MOST_ADDRESSES: usize = 64;
+pub const MAX_ADDRESSES: usize = 64;
 
 /// Fewest addresses worth telling: a client whose only gateway dies finds another one without asking again.
 const FEWEST: usize = 2;
@@ -21,7 +21,7 @@
     pub homes: Option<&'a [String]>,
 }
 
-/// Addresses of the gateways that a client should use, near ones first, at most [`MOST_ADDRESSES`].
+/// Addresses of the gateways that a client should use, near ones first, at most [`MAX_ADDRESSES`].
 ///
 /// Clients pick by chance among all of them, so that a far one takes as much as a near one: only the nearest tier that
 /// holds any is listed (zone, region, elsewhere), topped up to two from the next. `zones` gives each zone's region;
@@ -30,7 +30,7 @@
 /// A gateway counts elsewhere only if the client may be led to its region. Where none that counts is ready, all of the own
 /// region are listed: a request must not leave its region because the directory knew no better. Only where that has none at
 /// all are others listed, ready ones first.
-pub fn directory(
+pub fn nearby_gateways(
     roster: &[GatewayLine],
     client: &Client<'_>,
     zones: &BTreeMap<String, String>,
@@ -47,7 +47,7 @@
     let far: Vec<&GatewayLine> = others.iter().filter(ready).filter(allowed).copied().collect();
     let mut listed = Vec::new();
     for tier in [near.0, near.1, far] {
-        let most = if listed.is_empty() { MOST_ADDRESSES } else { FEWEST.saturating_sub(listed.len()) };
+        let most = if listed.is_empty() { MAX_ADDRESSES } else { FEWEST.saturating_sub(listed.len()) };
         add(&mut listed, tier, most, &mut dice);
     }
     if !listed.is_empty() {
@@ -57,7 +57,7 @@
     let far = others.iter().partition::<Vec<_>, _>(|line| line.ready);
     for tiers in [[unready.0, unready.1], [far.0, Vec::new()], [far.1, Vec::new()]] {
         for tier in tiers {
-            let most = MOST_ADDRESSES - listed.len();
+            let most = MAX_ADDRESSES - listed.len();
             add(&mut listed, tier, most, &mut dice);
         }
         if !listed.is_empty() {
@@ -130,7 +130,7 @@
     fn ask_for(homes: Option<&[&str]>, roster: &[GatewayLine], zone: &str, dice: u64) -> Vec<String> {
         let homes = homes.map(|homes| homes.iter().map(|home| home.to_string()).collect::<Vec<_>>());
         let client = Client { region: "a", zone, homes: homes.as_deref() };
-        directory(roster, &client, &zones(), dice)
+        nearby_gateways(roster, &client, &zones(), dice)
     }
 
     #[test]
@@ -161,7 +161,7 @@
         assert_eq!(ask(&roster, "a1", 1), ["p:80", "q:80"], "near ones first, though not ready");
         assert_eq!(ask(&roster[2..], "a1", 1), ["s:80"]);
         let far: Vec<_> = (0..100).map(|n| line(&format!("g{n}"), "b1", true)).collect();
-        assert_eq!(ask(&far, "a1", 3).len(), MOST_ADDRESSES);
+        assert_eq!(ask(&far, "a1", 3).len(), MAX_ADDRESSES);
         assert_eq!(ask(&[], "a1", 3), Vec::<String>::new());
     }
 
--- a/crates/registry/src/gateways.rs
+++ b/crates/registry/src/gateways.rs
@@ -13,20 +13,20 @@
 
 /// Who called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum CallOutcome {
     /// A gateway that is known, or is from now on.
-    Known,
+    Accepted,
     /// A life that another one of the same name has replaced: nothing was noted.
-    Replaced,
+    ReplacedProcess,
     /// Its line is unknown, so that the directory can't name it: it must call again with its line.
-    NoLine,
+    MissingLine,
     /// Another core member.
-    Core,
+    CoreMember,
 }
 
 /// How a gateway stands, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GatewayStanding {
+pub struct GatewayStatus {
     /// As published.
     pub line: GatewayLine,
     /// Version of the configuration that it had at its last call; `None`: it has not called this leader yet.
@@ -57,10 +57,10 @@
         self.broken.map_or(self.until, |at| at.min(self.until))
     }
 
-    fn standing(&self, now: u64) -> Option<GatewayStanding> {
+    fn standing(&self, now: u64) -> Option<GatewayStatus> {
         let line = GatewayLine { ready: self.ready(now), ..self.line.clone()? };
         let away_ms = now.checked_sub(self.there_until());
-        Some(GatewayStanding { line, version: self.version, away_ms })
+        Some(GatewayStatus { line, version: self.version, away_ms })
     }
 
     fn ready(&self, now: u64) -> bool {
@@ -119,9 +119,9 @@
         call: &WatchCall,
         has: u64,
         numbers: &mut Numbering,
-    ) -> Seen {
+    ) -> CallOutcome {
         if self.replaced.iter().any(|(name, life)| *name == call.name && *life == call.life) {
-            return Seen::Replaced;
+            return CallOutcome::ReplacedProcess;
         }
         let until = now + call.wait_ms.min(MOST_WAIT_MS) + tuning.gateway_slack_ms;
         let gateway = self.known.entry(call.name.clone()).or_insert_with(|| Gateway {
@@ -137,7 +137,7 @@
                 // Lives are drawn by chance and say nothing of their order: the one that tells its line, as each does at
                 // its start, replaces the other.
                 if call.line.is_none() {
-                    return Seen::NoLine;
+                    return CallOutcome::MissingLine;
                 }
                 self.replaced.push_back((call.name.clone(), life));
                 if self.replaced.len() > MOST_REPLACED {
@@ -166,9 +166,9 @@
             self.refresh(now, tuning, numbers);
         }
         if unsaid {
-            Seen::NoLine
+            CallOutcome::MissingLine
         } else {
-            Seen::Known
+            CallOutcome::Accepted
         }
     }
 
@@ -231,12 +231,12 @@
     }
 
     /// How each stands that has told its line.
-    pub(crate) fn standings(&self, now: u64) -> Vec<GatewayStanding> {
+    pub(crate) fn standings(&self, now: u64) -> Vec<GatewayStatus> {
         self.known.values().filter_map(|gateway| gateway.standing(now)).collect()
     }
 
     /// How the process of this life stands, if it has told its line.
-    pub(crate) fn standing_of(&self, now: u64, life: u64) -> Option<GatewayStanding> {
+    pub(crate) fn standing_of(&self, now: u64, life: u64) -> Option<GatewayStatus> {
         let gateway = self.known.values().find(|gateway| gateway.life == Some(life))?;
         gateway.standing(now)
     }
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -1,10 +1,10 @@
 //! The leader's registers as one: what comes in, what is new for whom.
 
-use crate::catalog::Copy;
-use crate::changes::Changes;
-use crate::gateways::{GatewayStanding, Gateways, Seen};
-use crate::servers::{Beat, BeatKind, BeatOutcome, ServerStanding, Servers};
-use crate::tally::{tally, Tally};
+use crate::catalog::WatchCache;
+use crate::changes::ConfigHistory;
+use crate::gateways::{CallOutcome, GatewayStatus, Gateways};
+use crate::servers::{Heartbeat, HeartbeatKind, HeartbeatOutcome, ServerStatus, Servers};
+use crate::tally::{count_servers, ServerCounts};
 use nickeljunction_messages::{
     Caller, ConfigChange, ConfigLine, GatewayLine, ServerState, TrialLine, WatchAnswer, WatchCall,
 };
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// How long a gateway may go by a permit for a cold server, ms, counted from the sending of the watch call whose answer
-/// told it, less the answer's `age_ms` (see [`crate::Leave::of`]). Below [`Tuning::permit_gap_ms`].
+/// told it, less the answer's `age_ms` (see [`crate::SendLimit::of`]). Below [`Tuning::permit_gap_ms`].
 pub const PERMIT_LIFE_MS: u64 = 2_500;
 
 /// Times of the registers, ms. [`Tuning::new`] derives them from the settings.
@@ -96,11 +96,11 @@
 
 /// How far a change has come round, by the watch calls that followed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reach {
+pub struct Propagation {
     /// Gateways that have it.
     pub gateways: usize,
     /// Gateways that are there now.
-    pub gateways_there: usize,
+    pub connected_gateways: usize,
 }
 
 /// Something published: what it is, and the number of its last change. `None`: not told yet.
@@ -108,7 +108,7 @@
 
 /// How far a tenant's trial has lapsed, by the agreed log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tide {
+pub struct TrialState {
     /// Whose.
     pub tenant: String,
     /// Rises with each change.
@@ -116,13 +116,13 @@
     /// 0: not at all.
     pub stage: u32,
     /// From then on it holds, ms of this leader's clock.
-    pub holds: u64,
+    pub effective_at_ms: u64,
 }
 
-impl Tide {
+impl TrialState {
     /// As it is told now.
     fn line(&self, now: u64) -> TrialLine {
-        let in_ms = self.holds.saturating_sub(now);
+        let in_ms = self.effective_at_ms.saturating_sub(now);
         TrialLine { tenant: self.tenant.clone(), step: self.step, stage: self.stage, in_ms }
     }
 }
@@ -132,7 +132,7 @@
 struct Published {
     line: Rc<ConfigLine>,
     digest: DocumentDigest,
-    changes: Changes,
+    changes: ConfigHistory,
     /// Made when the first caller asks for it, the same for all of one version.
     made: RefCell<BTreeMap<u64, Option<Rc<ConfigChange>>>>,
 }
@@ -160,7 +160,7 @@
 
 /// The soft state of a leader in one term: servers, gateways, and what the agreed log says for them to know.
 ///
-/// Nothing here is on disk. A successor starts from its [`struct@Copy`]; without one it gathers for
+/// Nothing here is on disk. A successor starts from its [`WatchCache`]; without one it gathers for
 /// [`Tuning::gather_ms`], and its answers add to what gateways have instead of replacing it.
 #[derive(Debug)]
 pub struct Register {
@@ -174,7 +174,7 @@
     before: BTreeSet<String>,
     core: Told<Vec<String>>,
     /// All trials that ever changed.
-    trials: Told<Vec<Tide>>,
+    trials: Told<Vec<TrialState>>,
     config: Option<Published>,
     /// When `config` came, to the tick.
     config_at: u64,
@@ -187,13 +187,13 @@
 
 impl Register {
     /// Starts leading in `term` (above 0), from what this member had learned as a follower.
-    pub fn new(now: u64, tuning: Tuning, term: u64, copy: Option<Copy>) -> Register {
+    pub fn new(now: u64, tuning: Tuning, term: u64, copy: Option<WatchCache>) -> Register {
         let mut numbers = Numbering::new();
-        let complete = copy.as_ref().is_some_and(Copy::complete);
+        let complete = copy.as_ref().is_some_and(WatchCache::is_complete);
         let copy = copy.unwrap_or_default();
         let catalog = copy.catalog();
         let servers = Servers::new(now, &tuning, &copy, &mut numbers);
-        let gateways = Gateways::new(now, &tuning, &catalog.roster, catalog.gateways, &mut numbers);
+        let gateways = Gateways::new(now, &tuning, &catalog.roster, catalog.gateway_count, &mut numbers);
         Register {
             gathering: (!complete)
                 .then_some(Gathering { end: now + tuning.gather_ms, last: now + 4 * tuning.gather_ms }),
@@ -203,7 +203,7 @@
             servers,
             gateways,
             evacuated: None,
-            before: BTreeSet::clone(&catalog.evacuated),
+            before: BTreeSet::clone(&catalog.evacuated_zones),
             core: None,
             trials: None,
             config: None,
@@ -224,13 +224,13 @@
     }
 
     /// The table may lack lives that have not beaten since the start without a copy.
-    pub fn gathering(&self) -> bool {
+    pub fn is_gathering(&self) -> bool {
         self.gathering.is_some()
     }
 
     /// Servers that left by the agreed log, whatever the copy said of them: those that drain, each with the number of the
     /// call that said so, and those that ended. To be told right after [`Register::new`].
-    pub fn departed(&mut self, now: u64, draining: &BTreeMap<String, u64>, ended: &BTreeSet<String>) {
+    pub fn apply_departures(&mut self, now: u64, draining: &BTreeMap<String, u64>, ended: &BTreeSet<String>) {
         self.servers.departed(now, &self.tuning, draining, ended, &mut self.numbers);
     }
 
@@ -240,10 +240,10 @@
     }
 
     /// A server says that it lives. Whatever the outcome, the call is to be acknowledged; one that says `draining` only
-    /// when [`BeatOutcome::at`] has come round, see [`Register::reach`].
-    pub fn beat(&mut self, now: u64, id: &str, beat: &Beat) -> BeatOutcome {
+    /// when [`HeartbeatOutcome::at`] has come round, see [`Register::propagation`].
+    pub fn record_heartbeat(&mut self, now: u64, id: &str, beat: &Heartbeat) -> HeartbeatOutcome {
         let outcome = self.servers.beat(now, &self.tuning, &self.gateways, id, beat, &mut self.numbers);
-        if let (BeatKind::Came, Some(gathering)) = (outcome.kind, &mut self.gathering) {
+        if let (HeartbeatKind::Registered, Some(gathering)) = (outcome.kind, &mut self.gathering) {
             gathering.end = gathering.end.max(now + self.tuning.heartbeat_ms);
         }
         outcome
@@ -251,7 +251,7 @@
 
     /// A server says that it is gone. Returns the number of the change that withdrew it, or of the newest one if it was
     /// not there; to be acknowledged when that has come round.
-    pub fn leave(&mut self, now: u64, id: &str) -> u64 {
+    pub fn remove_server(&mut self, now: u64, id: &str) -> u64 {
         self.servers.leave(now, &self.tuning, id, &mut self.numbers);
         self.seq()
     }
@@ -277,22 +277,22 @@
     }
 
     /// A watch call came in, of a gateway or of a follower; to be told before [`Register::answer`] is asked.
-    pub fn called(&mut self, now: u64, call: &WatchCall) -> Seen {
+    pub fn record_watch_call(&mut self, now: u64, call: &WatchCall) -> CallOutcome {
         let has = if call.term == self.term { call.seq } else { 0 };
         match call.who {
             Caller::Gateway => self.gateways.called(now, &self.tuning, call, has, &mut self.numbers),
-            Caller::Core => Seen::Core,
+            Caller::Core => CallOutcome::CoreMember,
         }
     }
 
     /// The watch connection of a gateway's life broke.
-    pub fn gateway_left(&mut self, now: u64, name: &str, life: u64) {
+    pub fn gateway_disconnected(&mut self, now: u64, name: &str, life: u64) {
         self.gateways.left(now, &self.tuning, name, life, &mut self.numbers);
     }
 
     /// How many gateways there are: those that were there in the last [`Tuning::gateway_alive_ms`], and after a
     /// take-over at least as many as the copy told. Rather too many than too few: shares are divided by it.
-    pub fn gateways(&self) -> u32 {
+    pub fn gateway_count(&self) -> u32 {
         self.gateways.count()
     }
 
@@ -302,27 +302,27 @@
     }
 
     /// How many lives of servers there are.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.count()
     }
 
     /// How many lives of each service are in which state.
-    pub fn tally(&self) -> Tally {
-        tally(self.servers.lines())
+    pub fn server_counts(&self) -> ServerCounts {
+        count_servers(self.servers.lines())
     }
 
     /// How each gateway stands that has told its line.
-    pub fn gateway_standings(&self, now: u64) -> Vec<GatewayStanding> {
+    pub fn gateway_statuses(&self, now: u64) -> Vec<GatewayStatus> {
         self.gateways.standings(now)
     }
 
     /// How a gateway's process stands, by its life; `None`: it has ended, or has not told this leader its line.
-    pub fn gateway_of_life(&self, now: u64, life: u64) -> Option<GatewayStanding> {
+    pub fn gateway_status(&self, now: u64, life: u64) -> Option<GatewayStatus> {
         self.gateways.standing_of(now, life)
     }
 
     /// How each life of a server stands.
-    pub fn server_standings(&self, now: u64) -> Vec<ServerStanding> {
+    pub fn server_statuses(&self, now: u64) -> Vec<ServerStatus> {
         self.servers.standings(now, &self.tuning)
     }
 
@@ -333,7 +333,7 @@
 
     /// Zones that are evacuated, all of them, by the agreed log. Servers of a zone whose evacuation is withdrawn are
     /// held until each has beaten, for they may have turned cold.
-    pub fn evacuated(&mut self, now: u64, zones: BTreeSet<String>) {
+    pub fn set_evacuated_zones(&mut self, now: u64, zones: BTreeSet<String>) {
         let before = match &self.evacuated {
             Some((told, _)) if *told == zones => return,
             Some((told, _)) => told,
@@ -345,14 +345,14 @@
     }
 
     /// The core's machines, by IP address.
-    pub fn core(&mut self, hosts: Vec<String>) {
+    pub fn set_core_hosts(&mut self, hosts: Vec<String>) {
         if self.core.as_ref().is_none_or(|(told, _)| *told != hosts) {
             self.core = Some((hosts, self.numbers.next()));
         }
     }
 
     /// All trials that ever changed, by the agreed log. None: there is nothing to tell.
-    pub fn trials(&mut self, tides: Vec<Tide>) {
+    pub fn set_trials(&mut self, tides: Vec<TrialState>) {
         let told = self.trials.as_ref().map_or(&[][..], |(told, _)| told);
         if told != tides {
             self.trials = Some((tides, self.numbers.next()));
@@ -361,7 +361,7 @@
 
     /// The newest configuration that was agreed on, with its digest and what led to it; an older one than is held changes
     /// nothing.
-    pub fn config(&mut self, line: Rc<ConfigLine>, digest: DocumentDigest, changes: Changes) {
+    pub fn set_config(&mut self, line: Rc<ConfigLine>, digest: DocumentDigest, changes: ConfigHistory) {
         if self.config.as_ref().is_none_or(|held| held.line.version < line.version) {
             self.config = Some(Published { line, digest, changes, made: RefCell::default() });
             self.config_at = self.ticked;
@@ -370,9 +370,9 @@
     }
 
     /// How far the change of number `seq` has come round; for changes of servers and evacuations.
-    pub fn reach(&self, now: u64, seq: u64) -> Reach {
-        let (gateways, gateways_there) = self.gateways.reached(now, seq);
-        Reach { gateways, gateways_there }
+    pub fn propagation(&self, now: u64, seq: u64) -> Propagation {
+        let (gateways, connected_gateways) = self.gateways.reached(now, seq);
+        Propagation { gateways, connected_gateways }
     }
 
     /// What the caller lacks; `None`: nothing, and the call is to be held. `age_ms`: so long ago a majority agreed that
@@ -383,9 +383,9 @@
         }
         let own = call.term == self.term && call.seq <= self.seq();
         let since = if own { call.seq } else { 0 };
-        let mut answer = self.nothing(age_ms);
+        let mut answer = self.empty_answer(age_ms);
         // One that has nothing is told all there is as the whole, unless a successor would take it for that.
-        let partial = self.gathering() && (call.who == Caller::Core || call.term != 0);
+        let partial = self.is_gathering() && (call.who == Caller::Core || call.term != 0);
         if own && self.holds_all(call) && self.servers.follows(since) {
             self.servers.since(since, &mut answer);
         } else {
@@ -426,7 +426,7 @@
 
     /// The caller lacks something that must not wait. What may: servers and gateways that came, and how many gateways
     /// there are.
-    pub fn pressing(&self, call: &WatchCall) -> bool {
+    pub fn has_urgent_changes(&self, call: &WatchCall) -> bool {
         let since = call.seq;
         let own = call.term == self.term && 0 < since && since <= self.seq();
         let later = |at: u64| at > since;
@@ -464,7 +464,7 @@
     }
 
     /// The answer to a call that was held for its whole time without news.
-    pub fn nothing(&self, age_ms: u64) -> WatchAnswer {
+    pub fn empty_answer(&self, age_ms: u64) -> WatchAnswer {
         WatchAnswer { term: self.term, seq: self.seq(), age_ms, ..WatchAnswer::default() }
     }
 }
--- a/crates/registry/src/servers.rs
+++ b/crates/registry/src/servers.rs
@@ -1,6 +1,6 @@
 //! Which servers there are: lives by their beats, their states, and who may send to a cold one.
 
-use crate::catalog::Copy;
+use crate::catalog::WatchCache;
 use crate::gateways::Gateways;
 use crate::register::{Numbering, Tuning};
 use nickeljunction_messages::{ServerLine, ServerState, WatchAnswer};
@@ -14,7 +14,7 @@
 
 /// What a server's beat tells.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Where it listens.
     pub address: String,
     /// Its service.
@@ -35,34 +35,34 @@
 
 /// What became of a beat. All are acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BeatOutcome {
+pub struct HeartbeatOutcome {
     /// What it was.
-    pub kind: BeatKind,
+    pub kind: HeartbeatKind,
     /// Number of the change by which this life's present line was published: when that has come round
-    /// ([`crate::Register::reach`]), so has the life's state.
-    pub at: u64,
+    /// ([`crate::Register::propagation`]), so has the life's state.
+    pub seq: u64,
 }
 
 /// Kinds of beats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeatKind {
+pub enum HeartbeatKind {
     /// The life is new here, or back.
-    Came,
+    Registered,
     /// Its line changed.
     Changed,
     /// Only its time.
-    Same,
+    Unchanged,
     /// Older than one that was heard; ignored.
-    Late,
+    Stale,
     /// Its life has ended, by its own word or because another life has its address; ignored.
     Ended,
     /// The leader before may have known its end: its next beat registers it.
-    Doubted,
+    Unconfirmed,
 }
 
 /// How a server stands, for operators.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerStanding {
+pub struct ServerStatus {
     /// As published.
     pub line: ServerLine,
     /// Its last beat came so long ago, ms, which is longer than servers take; `None`: it beats.
@@ -169,7 +169,7 @@
 
 impl Servers {
     /// From a copy: all of its lives count as heard now.
-    pub(crate) fn new(now: u64, tuning: &Tuning, copy: &Copy, numbers: &mut Numbering) -> Servers {
+    pub(crate) fn new(now: u64, tuning: &Tuning, copy: &WatchCache, numbers: &mut Numbering) -> Servers {
         let permits_from = now + tuning.permit_gap_ms;
         let mut servers = Servers {
             lives: BTreeMap::new(),
@@ -201,7 +201,7 @@
         servers
     }
 
-    /// See [`crate::Register::departed`].
+    /// See [`crate::Register::apply_departures`].
     pub(crate) fn departed(
         &mut self,
         now: u64,
@@ -239,28 +239,28 @@
         self.lives.get(id).map(|life| life.line.state)
     }
 
-    /// See [`crate::Register::beat`].
+    /// See [`crate::Register::record_heartbeat`].
     pub(crate) fn beat(
         &mut self,
         now: u64,
         tuning: &Tuning,
         gateways: &Gateways,
         id: &str,
-        beat: &Beat,
+        beat: &Heartbeat,
         numbers: &mut Numbering,
-    ) -> BeatOutcome {
+    ) -> HeartbeatOutcome {
         let Some(life) = self.lives.get_mut(id) else {
             return self.first_beat(now, tuning, gateways, id, beat, numbers);
         };
         let told_at = life.changed;
         match life.call_seq {
             Some(known) if beat.call_seq < known => {
-                return BeatOutcome { kind: BeatKind::Late, at: told_at };
+                return HeartbeatOutcome { kind: HeartbeatKind::Stale, seq: told_at };
             }
             // The same call over another way: it lives, but how long it stays cold was counted from the first arrival.
             Some(known) if beat.call_seq == known => {
                 life.heard = now;
-                return BeatOutcome { kind: BeatKind::Same, at: told_at };
+                return HeartbeatOutcome { kind: HeartbeatKind::Unchanged, seq: told_at };
             }
             _ => {}
         }
@@ -288,7 +288,10 @@
         }
         self.assign(now, tuning, gateways, Some(id), numbers);
         let at = self.lives.get(id).map_or(told_at, |life| life.changed);
-        BeatOutcome { kind: if at == told_at { BeatKind::Same } else { BeatKind::Changed }, at }
+        HeartbeatOutcome {
+            kind: if at == told_at { HeartbeatKind::Unchanged } else { HeartbeatKind::Changed },
+            seq: at,
+        }
     }
 
     /// A beat of a life that isn't in the table.
@@ -298,29 +301,31 @@
         tuning: &Tuning,
         gateways: &Gateways,
         id: &str,
-        beat: &Beat,
+        beat: &Heartbeat,
         numbers: &mut Numbering,
-    ) -> BeatOutcome {
+    ) -> HeartbeatOutcome {
         let at = self.changed;
         let mut free_at = self.permits_from;
         let held = self.lives.values().any(|life| life.line.address == beat.address);
         if let Some(past) = self.past.get_mut(id).filter(|past| now < past.until) {
             let kind = match past.end {
-                End::Certain => BeatKind::Ended,
-                End::Silent(Some(known)) | End::Heard(known) if beat.call_seq <= known => BeatKind::Late,
+                End::Certain => HeartbeatKind::Ended,
+                End::Silent(Some(known)) | End::Heard(known) if beat.call_seq <= known => {
+                    HeartbeatKind::Stale
+                }
                 // Its address has gone to a life that was heard after it.
                 _ if held => {
                     past.end = End::Certain;
-                    BeatKind::Ended
+                    HeartbeatKind::Ended
                 }
                 End::Copied => {
                     past.end = End::Heard(beat.call_seq);
-                    BeatKind::Doubted
+                    HeartbeatKind::Unconfirmed
                 }
-                End::Silent(_) | End::Heard(_) => BeatKind::Came,
+                End::Silent(_) | End::Heard(_) => HeartbeatKind::Registered,
             };
-            if kind != BeatKind::Came {
-                return BeatOutcome { kind, at };
+            if kind != HeartbeatKind::Registered {
+                return HeartbeatOutcome { kind, seq: at };
             }
             free_at = free_at.max(past.free_at);
         }
@@ -343,7 +348,10 @@
         self.lives.insert(id.to_string(), life);
         self.assign(now, tuning, gateways, Some(id), numbers);
         self.arrival = (self.changed, others);
-        BeatOutcome { kind: BeatKind::Came, at: self.lives.get(id).map_or(at, |life| life.changed) }
+        HeartbeatOutcome {
+            kind: HeartbeatKind::Registered,
+            seq: self.lives.get(id).map_or(at, |life| life.changed),
+        }
     }
 
     /// No other life than `id` has `address`: the machine gave it to this one, which the others did not outlive.
@@ -361,7 +369,7 @@
         }
     }
 
-    /// See [`crate::Register::leave`].
+    /// See [`crate::Register::remove_server`].
     pub(crate) fn leave(&mut self, now: u64, tuning: &Tuning, id: &str, numbers: &mut Numbering) {
         if self.lives.contains_key(id) {
             self.withdraw(now, tuning, id, End::Certain, numbers);
@@ -516,11 +524,11 @@
     }
 
     /// How each stands.
-    pub(crate) fn standings(&self, now: u64, tuning: &Tuning) -> Vec<ServerStanding> {
+    pub(crate) fn standings(&self, now: u64, tuning: &Tuning) -> Vec<ServerStatus> {
         let standing = |life: &Life| {
             let silent_ms = now.saturating_sub(life.heard);
             let silent_ms = (silent_ms > tuning.missing_ms()).then_some(silent_ms);
-            ServerStanding { line: life.line.clone(), silent_ms }
+            ServerStatus { line: life.line.clone(), silent_ms }
         };
         self.lives.values().map(standing).collect()
     }
@@ -564,7 +572,7 @@
     }
 }
 
-impl Beat {
+impl Heartbeat {
     fn line(&self, id: &str) -> ServerLine {
         ServerLine {
             id: id.to_string(),
--- a/crates/registry/src/tally.rs
+++ b/crates/registry/src/tally.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 
 /// How many lives there are by service and state.
-pub type Tally = BTreeMap<String, BTreeMap<&'static str, usize>>;
+pub type ServerCounts = BTreeMap<String, BTreeMap<&'static str, usize>>;
 
 /// A life's state in a word: `in_service`, `cold` (in service, at its rate) or `draining`.
-pub fn state(line: &ServerLine) -> &'static str {
+pub fn state_name(line: &ServerLine) -> &'static str {
     // One that leaves gets nothing, however cold it is.
     match (line.state, &line.cold) {
         (ServerState::Draining, _) => "draining",
@@ -16,11 +16,11 @@
     }
 }
 
-/// How many of these lives are in which [`state`]. A service without a life is not in it.
-pub fn tally<'a>(lines: impl IntoIterator<Item = &'a ServerLine>) -> Tally {
-    let mut tally = Tally::new();
+/// How many of these lives are in which [`state_name`]. A service without a life is not in it.
+pub fn count_servers<'a>(lines: impl IntoIterator<Item = &'a ServerLine>) -> ServerCounts {
+    let mut tally = ServerCounts::new();
     for line in lines {
-        *tally.entry(line.backend.clone()).or_default().entry(state(line)).or_default() += 1;
+        *tally.entry(line.backend.clone()).or_default().entry(state_name(line)).or_default() += 1;
     }
     tally
 }
--- a/crates/registry/tests/changes.rs
+++ b/crates/registry/tests/changes.rs
@@ -1,7 +1,7 @@
 //! The configuration to watchers as differences: what each is told, and what becomes of one that doesn't fit.
 
 use nickeljunction_messages::{Caller, ConfigLine, WatchAnswer, WatchCall};
-use nickeljunction_registry::{Changes, Copy, Refused, Register, Tuning};
+use nickeljunction_registry::{ApplyError, ConfigHistory, Register, Tuning, WatchCache};
 use nickeljunction_schema::{Difference, DocumentDigest, Place};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
     register: Register,
     doc: Value,
     version: u64,
-    changes: Changes,
+    changes: ConfigHistory,
 }
 
 impl Leader {
@@ -20,17 +20,17 @@
         let names = (0..routes).map(|number| (format!("r{number}"), json!({"path_prefix": "/", "note": 0})));
         let doc = json!({"config_version": 1, "routes": names.collect::<serde_json::Map<_, _>>()});
         let register = Register::new(1_000, Tuning::new(1_000, BTreeMap::new()), 1, None);
-        let mut leader = Leader { register, doc, version: 1, changes: Changes::default() };
+        let mut leader = Leader { register, doc, version: 1, changes: ConfigHistory::default() };
         leader.publish();
         leader
     }
 
     fn publish(&mut self) {
         let line = ConfigLine { version: self.version, doc: self.doc.clone() };
-        self.register.config(Rc::new(line), DocumentDigest::of(&self.doc), self.changes.clone());
+        self.register.set_config(Rc::new(line), DocumentDigest::of(&self.doc), self.changes.clone());
     }
 
-    /// Changes one route, as an entry of the log would.
+    /// ConfigHistory one route, as an entry of the log would.
     fn change(&mut self, route: usize) {
         let before = self.doc.clone();
         self.version += 2;
@@ -41,8 +41,8 @@
         self.publish();
     }
 
-    fn ask(&self, copy: &Copy) -> WatchCall {
-        copy.ask(Caller::Gateway, "edge", 7, None, 1_000)
+    fn ask(&self, copy: &WatchCache) -> WatchCall {
+        copy.watch_call(Caller::Gateway, "edge", 7, None, 1_000)
     }
 
     /// What a watcher is told, by way of the wire.
@@ -52,7 +52,7 @@
         Some(serde_json::from_str(&text).expect("own text"))
     }
 
-    fn told(&self, copy: &mut Copy) -> WatchAnswer {
+    fn told(&self, copy: &mut WatchCache) -> WatchAnswer {
         let answer = self.answer(&self.ask(copy)).expect("news");
         copy.apply(answer.clone()).expect("it fits");
         assert_eq!(copy.catalog().config.as_ref().map(|held| &held.doc), Some(&self.doc));
@@ -67,7 +67,7 @@
 #[test]
 fn a_watcher_is_told_one_difference_whatever_number_of_versions_it_is_behind() {
     let mut leader = Leader::new(200);
-    let (mut near, mut far) = (Copy::new(), Copy::new());
+    let (mut near, mut far) = (WatchCache::new(), WatchCache::new());
     let whole = leader.told(&mut near);
     leader.told(&mut far);
     assert!(whole.config.is_some() && whole.change.is_none(), "the first is whole");
@@ -87,7 +87,7 @@
 #[test]
 fn who_is_too_far_behind_or_takes_no_differences_is_told_the_whole() {
     let mut leader = Leader::new(50);
-    let (mut old, mut plain) = (Copy::new(), Copy::new());
+    let (mut old, mut plain) = (WatchCache::new(), WatchCache::new());
     leader.told(&mut old);
     leader.told(&mut plain);
     leader.change(1);
@@ -105,7 +105,7 @@
         leader.change(route);
     }
     assert!(leader.told(&mut old).config.is_some());
-    let core = Copy::new().ask(Caller::Core, "core-2", 9, None, 0);
+    let core = WatchCache::new().watch_call(Caller::Core, "core-2", 9, None, 0);
     let answer = leader.answer(&core).expect("all but the configuration");
     assert!(answer.config.is_none() && answer.change.is_none(), "core members have it from the log");
 }
@@ -113,7 +113,7 @@
 #[test]
 fn a_difference_that_makes_another_document_is_refused_and_the_whole_asked_for() {
     let mut leader = Leader::new(50);
-    let mut copy = Copy::new();
+    let mut copy = WatchCache::new();
     leader.told(&mut copy);
     leader.change(1);
     leader.told(&mut copy);
@@ -125,7 +125,7 @@
     let difference = Difference::between(&json!({}), &doc);
     answer.change = Some(Rc::new(nickeljunction_messages::ConfigChange { difference, ..(*change).clone() }));
     let before = copy.catalog();
-    assert_eq!(copy.apply(answer), Err(Refused::Digest(leader.version)));
+    assert_eq!(copy.apply(answer), Err(ApplyError::DigestMismatch(leader.version)));
     assert!(Rc::ptr_eq(&before, &copy.catalog()), "nothing changed");
     assert_eq!(leader.ask(&copy).version, 0, "it asks for the whole");
     assert!(leader.told(&mut copy).config.is_some());
@@ -136,7 +136,7 @@
 /// A document that came whole between two differences: nothing leads over it.
 #[test]
 fn nothing_leads_over_a_gap() {
-    let mut changes = Changes::default();
+    let mut changes = ConfigHistory::default();
     let place = |name: &str| BTreeSet::from([Place::Member(name.into())]);
     let doc = json!({"a": 1, "b": 2, "c": 3, "d": 4});
     changes.push(1, 2, place("a"));
@@ -157,7 +157,7 @@
 #[test]
 fn answers_that_were_overtaken_change_nothing() {
     let mut leader = Leader::new(50);
-    let (mut copy, mut other) = (Copy::new(), Copy::new());
+    let (mut copy, mut other) = (WatchCache::new(), WatchCache::new());
     leader.told(&mut copy);
     leader.told(&mut other);
     leader.change(1);
@@ -172,7 +172,7 @@
     other.apply(early).expect("it fits");
     leader.change(3);
     let third = leader.answer(&WatchCall { version: 1, ..leader.ask(&other) }).expect("news");
-    assert_eq!(other.apply(third), Err(Refused::Base(3, 1)));
+    assert_eq!(other.apply(third), Err(ApplyError::BaseMismatch(3, 1)));
     assert_eq!(leader.ask(&other).version, 3, "what it holds is sound");
     leader.told(&mut other);
 }
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -3,7 +3,9 @@
 #![allow(dead_code, missing_docs)]
 
 use nickeljunction_messages::{Caller, GatewayLine, ServerState, WatchCall};
-use nickeljunction_registry::{Applied, Beat, BeatKind, Catalog, Copy, Register, Tuning};
+use nickeljunction_registry::{
+    Catalog, CatalogUpdate, Heartbeat, HeartbeatKind, Register, Tuning, WatchCache,
+};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -14,8 +16,8 @@
     Tuning::new(HEARTBEAT_MS, BTreeMap::from(zones.map(|(zone, region)| (zone.into(), region.into()))))
 }
 
-pub fn beat(address: &str, zone: &str, call_seq: u64) -> Beat {
-    Beat {
+pub fn beat(address: &str, zone: &str, call_seq: u64) -> Heartbeat {
+    Heartbeat {
         address: address.into(),
         backend: "bookdesk".into(),
         version: "v1".into(),
@@ -27,12 +29,12 @@
     }
 }
 
-pub fn draining(address: &str, zone: &str, call_seq: u64) -> Beat {
-    Beat { state: ServerState::Draining, ..beat(address, zone, call_seq) }
+pub fn draining(address: &str, zone: &str, call_seq: u64) -> Heartbeat {
+    Heartbeat { state: ServerState::Draining, ..beat(address, zone, call_seq) }
 }
 
-pub fn cold(address: &str, zone: &str, call_seq: u64, warmup_left_ms: u64) -> Beat {
-    Beat { warmup_left_ms, ..beat(address, zone, call_seq) }
+pub fn cold(address: &str, zone: &str, call_seq: u64, warmup_left_ms: u64) -> Heartbeat {
+    Heartbeat { warmup_left_ms, ..beat(address, zone, call_seq) }
 }
 
 pub fn line(name: &str, zone: &str, ready: bool) -> GatewayLine {
@@ -41,7 +43,7 @@
 
 /// The first call of a gateway's life.
 pub fn hello(name: &str, zone: &str, life: u64, ready: bool) -> WatchCall {
-    Copy::new().ask(Caller::Gateway, name, life, Some(line(name, zone, ready)), 1_000)
+    WatchCache::new().watch_call(Caller::Gateway, name, life, Some(line(name, zone, ready)), 1_000)
 }
 
 pub struct Cluster {
@@ -60,7 +62,7 @@
         Cluster::from(1_000, 1, None)
     }
 
-    pub fn from(now: u64, term: u64, copy: Option<Copy>) -> Cluster {
+    pub fn from(now: u64, term: u64, copy: Option<WatchCache>) -> Cluster {
         let register = Register::new(now, tuning(), term, copy);
         Cluster { now, register, expired: Vec::new(), calling: Vec::new(), beating: Vec::new() }
     }
@@ -76,7 +78,7 @@
     fn beats(&mut self) {
         for (id, zone, address, call_seq) in &mut self.beating {
             *call_seq += 1;
-            self.register.beat(self.now, id, &beat(address, zone, *call_seq));
+            self.register.record_heartbeat(self.now, id, &beat(address, zone, *call_seq));
         }
     }
 
@@ -89,14 +91,14 @@
                 self.beats();
             }
             for (name, zone) in &self.calling {
-                self.register.called(self.now, &hello(name, zone, 1, true));
+                self.register.record_watch_call(self.now, &hello(name, zone, 1, true));
             }
             self.expired.extend(self.register.tick(self.now));
         }
     }
 
-    pub fn beat(&mut self, id: &str, beat: &Beat) -> BeatKind {
-        self.register.beat(self.now, id, beat).kind
+    pub fn beat(&mut self, id: &str, beat: &Heartbeat) -> HeartbeatKind {
+        self.register.record_heartbeat(self.now, id, beat).kind
     }
 
     /// All that a core member is told that has nothing.
@@ -104,15 +106,15 @@
         self.copy().catalog()
     }
 
-    pub fn copy(&self) -> Copy {
-        let mut copy = Copy::new();
+    pub fn copy(&self) -> WatchCache {
+        let mut copy = WatchCache::new();
         self.tell(&mut copy, Caller::Core);
         copy
     }
 
     /// Tells a watcher what it lacks, if anything.
-    pub fn tell(&self, copy: &mut Copy, who: Caller) -> Option<Applied> {
-        let call = copy.ask(who, "watcher", 7, None, 1_000);
+    pub fn tell(&self, copy: &mut WatchCache, who: Caller) -> Option<CatalogUpdate> {
+        let call = copy.watch_call(who, "watcher", 7, None, 1_000);
         let answer = self.register.answer(self.now, &call, 0)?;
         Some(copy.apply(answer).expect("leads back"))
     }
--- a/crates/registry/tests/reference.rs
+++ b/crates/registry/tests/reference.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use nickeljunction_messages::{Caller, ConfigLine, ServerLine, ServerState, WatchAnswer};
-use nickeljunction_registry::{barred, Applied, Beat, Changes, Copy, Leave};
+use nickeljunction_registry::{send_block, ConfigHistory, Heartbeat, SendLimit, WatchCache};
 use nickeljunction_schema::DocumentDigest;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -118,7 +118,7 @@
 }
 
 impl Reference {
-    fn beat(&mut self, now: u64, id: &str, told: &Beat) {
+    fn beat(&mut self, now: u64, id: &str, told: &Heartbeat) {
         let mut state = told.state;
         let mut held = None;
         if let Some(life) = self.lives.get_mut(id) {
@@ -224,7 +224,7 @@
 /// A gateway's process.
 #[derive(Clone, Default)]
 struct Gateway {
-    copy: Copy,
+    copy: WatchCache,
     life: u64,
     /// When it sent the call that told it.
     sent_at: u64,
@@ -233,15 +233,15 @@
 struct World {
     cluster: Cluster,
     gateways: Vec<Gateway>,
-    follower: Copy,
+    follower: WatchCache,
     /// Lives that went, by the follower's answers.
     follower_gone: BTreeSet<String>,
     /// One that has read this leader alone.
-    reader: Copy,
+    reader: WatchCache,
     reference: Reference,
     /// Of each server: life and newest beat's number.
     servers: [(u64, u64); SERVERS],
-    beats: Vec<(String, Beat)>,
+    beats: Vec<(String, Heartbeat)>,
     answers: Vec<WatchAnswer>,
     version: u64,
 }
@@ -253,9 +253,9 @@
             reference: Reference { began: cluster.now, ..Reference::default() },
             cluster,
             gateways: vec![Gateway::default(); GATEWAYS.len()],
-            follower: Copy::new(),
+            follower: WatchCache::new(),
             follower_gone: BTreeSet::new(),
-            reader: Copy::new(),
+            reader: WatchCache::new(),
             servers: [(0, 10); SERVERS],
             beats: Vec::new(),
             answers: Vec::new(),
@@ -267,7 +267,7 @@
         format!("i{server}-{}", self.servers[server].0)
     }
 
-    fn beat(&mut self, id: &str, told: &Beat) {
+    fn beat(&mut self, id: &str, told: &Heartbeat) {
         self.cluster.beat(id, told);
         self.reference.beat(self.cluster.now, id, told);
     }
@@ -294,7 +294,7 @@
             }
             Step::Leave(server) => {
                 let id = self.id(server);
-                self.cluster.register.leave(now, &id);
+                self.cluster.register.remove_server(now, &id);
                 self.reference.end(&id, End::Final);
                 self.servers[server].0 += 1;
             }
@@ -303,7 +303,7 @@
             Step::Ask { gateway, ready, held_ms } => self.ask(gateway, ready, held_ms)?,
             Step::Breaks(gateway) => {
                 let (name, life) = (GATEWAYS[gateway], self.gateways[gateway].life);
-                self.cluster.register.gateway_left(now, name, life);
+                self.cluster.register.gateway_disconnected(now, name, life);
                 let known = self.reference.gateways.get_mut(name).filter(|known| known.2 == Some(life));
                 if let Some((until, ..)) = known {
                     *until = (*until).min(now + 1_000);
@@ -324,7 +324,7 @@
             }
             Step::Follow => {
                 let applied = self.cluster.tell(&mut self.follower, Caller::Core).unwrap_or_default();
-                let Applied { gone, .. } = applied;
+                let gone = applied.removed_servers;
                 let there = self.follower.catalog();
                 self.follower_gone.extend(gone.iter().map(|id| id.to_string()));
                 self.follower_gone.retain(|id| !there.servers.contains_key(id.as_str()));
@@ -340,7 +340,7 @@
             Step::Evacuate(zones) => {
                 let chosen = (0..3).filter(|bit| zones & (1 << bit) != 0).map(|bit| ZONES[bit].to_string());
                 let chosen: BTreeSet<String> = chosen.collect();
-                self.cluster.register.evacuated(now, chosen.clone());
+                self.cluster.register.set_evacuated_zones(now, chosen.clone());
                 self.reference.evacuate(now, chosen);
             }
             Step::Configure => {
@@ -373,11 +373,11 @@
         let (now, name) = (self.cluster.now, GATEWAYS[number]);
         let gateway = &mut self.gateways[number];
         let told = Some(line(name, ZONES[number % 3], ready));
-        let call = gateway.copy.ask(Caller::Gateway, name, gateway.life, told, 1_000);
-        self.cluster.register.called(now, &call);
+        let call = gateway.copy.watch_call(Caller::Gateway, name, gateway.life, told, 1_000);
+        self.cluster.register.record_watch_call(now, &call);
         self.reference.gateways.insert(name.into(), (now + KEEPS_MS, ready, Some(call.life)));
         let answer = self.cluster.register.answer(self.cluster.now, &call, 0);
-        let answer = answer.unwrap_or_else(|| self.cluster.register.nothing(0));
+        let answer = answer.unwrap_or_else(|| self.cluster.register.empty_answer(0));
         self.answers.push(answer.clone());
         let (before, turn) = (gateway.copy.catalog(), gateway.copy.term() < answer.term);
         prop_assert!(gateway.copy.apply(answer).is_ok(), "{} ms: refused by {}", now, name);
@@ -385,14 +385,14 @@
         // What it may send to now is there, stays, and is in a zone that is not evacuated.
         let catalog = gateway.copy.catalog();
         prop_assert_eq!(catalog.version(), self.version);
-        prop_assert_eq!(&*catalog.evacuated, &self.reference.zones);
-        let whole = !self.cluster.register.gathering();
+        prop_assert_eq!(&*catalog.evacuated_zones, &self.reference.zones);
+        let whole = !self.cluster.register.is_gathering();
         let truth = self.cluster.catalog();
         for (id, line) in catalog.servers.iter() {
             let drained = before.servers.get(id).is_some_and(|old| old.state == ServerState::Draining);
             let back = turn && drained && line.state == ServerState::InService;
             prop_assert!(!back, "{} ms: {} takes {} back from its drain", now, name, id);
-            if barred(line, name, |zone| catalog.evacuated.contains(zone)).is_some() {
+            if send_block(line, name, |zone| catalog.evacuated_zones.contains(zone)).is_some() {
                 continue;
             }
             let Some(own) = truth.servers.get(id) else {
@@ -406,7 +406,7 @@
                 );
                 continue;
             };
-            let bar = barred(own, name, |zone| self.reference.zones.contains(zone));
+            let bar = send_block(own, name, |zone| self.reference.zones.contains(zone));
             prop_assert!(bar.is_none(), "{} ms: {} sends to {}: {:?}", now, name, id, bar);
         }
         if whole {
@@ -420,7 +420,7 @@
         let doc = serde_json::json!({ "config_version": self.version });
         let digest = DocumentDigest::of(&doc);
         let line = ConfigLine { version: self.version, doc };
-        self.cluster.register.config(Rc::new(line), digest, Changes::default());
+        self.cluster.register.set_config(Rc::new(line), digest, ConfigHistory::default());
     }
 
     fn take_over(&mut self, copy: bool) {
@@ -442,7 +442,7 @@
                 };
                 reference.lives.insert(id.to_string(), life);
             }
-            reference.zones = BTreeSet::clone(&catalog.evacuated);
+            reference.zones = BTreeSet::clone(&catalog.evacuated_zones);
             let hearsay = self.follower_gone.iter().map(|id| (id.clone(), (End::Hearsay, String::new())));
             reference.ends = hearsay.collect();
             let until = now + tuning().takeover_ms + 1_000;
@@ -451,8 +451,8 @@
         }
         self.cluster = Cluster::from(now, self.cluster.register.term() + 1, copy);
         self.reference = reference;
-        self.reader = Copy::new();
-        self.cluster.register.evacuated(now, zones.clone());
+        self.reader = WatchCache::new();
+        self.cluster.register.set_evacuated_zones(now, zones.clone());
         self.reference.evacuate(now, zones);
         self.configure();
     }
@@ -468,7 +468,7 @@
         let mut holders = BTreeMap::new();
         for (name, gateway) in GATEWAYS.iter().zip(&self.gateways) {
             for (id, line) in gateway.copy.catalog().servers.iter() {
-                if Leave::of(line, name, now - gateway.sent_at) == Leave::AtRate {
+                if SendLimit::of(line, name, now - gateway.sent_at) == SendLimit::WarmupRate {
                     let other = holders.insert(id.clone(), name);
                     prop_assert!(other.is_none(), "{} ms: {} and {:?} go by {}", now, name, other, id);
                 }
--- a/crates/registry/tests/servers.rs
+++ b/crates/registry/tests/servers.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use nickeljunction_messages::{Caller, ServerState};
-use nickeljunction_registry::{BeatKind, Copy, Register};
+use nickeljunction_registry::{HeartbeatKind, Register, WatchCache};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn zones<const N: usize>(names: [&str; N]) -> BTreeSet<String> {
@@ -15,32 +15,40 @@
 fn a_drain_holds_through_late_beats_and_a_crash() {
     let mut cluster = Cluster::new();
     cluster.crowd(3, "a1");
-    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 1)), BeatKind::Came);
-    let told = cluster.register.beat(cluster.now, "x", &draining("x:1", "a1", 4));
-    assert_eq!(told.kind, BeatKind::Changed);
-    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 3)), BeatKind::Late);
-    let again = cluster.register.beat(cluster.now, "x", &draining("x:1", "a1", 5));
-    assert_eq!((again.kind, again.at), (BeatKind::Same, told.at), "a repeat waits for the same change");
+    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 1)), HeartbeatKind::Registered);
+    let told = cluster.register.record_heartbeat(cluster.now, "x", &draining("x:1", "a1", 4));
+    assert_eq!(told.kind, HeartbeatKind::Changed);
+    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 3)), HeartbeatKind::Stale);
+    let again = cluster.register.record_heartbeat(cluster.now, "x", &draining("x:1", "a1", 5));
+    assert_eq!(
+        (again.kind, again.seq),
+        (HeartbeatKind::Unchanged, told.seq),
+        "a repeat waits for the same change"
+    );
     assert_eq!(cluster.state("x"), Some(ServerState::Draining));
     cluster.wait(6_000);
     assert_eq!(cluster.expired, ["x"]);
-    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 3)), BeatKind::Late);
+    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 3)), HeartbeatKind::Stale);
     assert_eq!(cluster.state("x"), None);
-    assert_eq!(cluster.beat("x", &draining("x:1", "a1", 6)), BeatKind::Came, "it was only cut off");
+    assert_eq!(
+        cluster.beat("x", &draining("x:1", "a1", 6)),
+        HeartbeatKind::Registered,
+        "it was only cut off"
+    );
 }
 
 #[test]
 fn the_newest_word_counts_and_the_end_is_final() {
     let mut cluster = Cluster::new();
     cluster.beat("x", &draining("x:1", "a1", 7));
-    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 9)), BeatKind::Changed);
-    assert_eq!(cluster.beat("x", &draining("x:1", "a1", 8)), BeatKind::Late);
+    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 9)), HeartbeatKind::Changed);
+    assert_eq!(cluster.beat("x", &draining("x:1", "a1", 8)), HeartbeatKind::Stale);
     assert_eq!(cluster.state("x"), Some(ServerState::InService));
-    cluster.register.leave(cluster.now, "x");
-    cluster.register.leave(cluster.now, "never-beat");
-    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 10)), BeatKind::Ended);
-    assert_eq!(cluster.beat("never-beat", &beat("y:1", "a1", 1)), BeatKind::Ended);
-    assert_eq!(cluster.register.servers(), 0);
+    cluster.register.remove_server(cluster.now, "x");
+    cluster.register.remove_server(cluster.now, "never-beat");
+    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 10)), HeartbeatKind::Ended);
+    assert_eq!(cluster.beat("never-beat", &beat("y:1", "a1", 1)), HeartbeatKind::Ended);
+    assert_eq!(cluster.register.server_count(), 0);
 }
 
 #[test]
@@ -51,15 +59,15 @@
     cluster.wait(2_000);
     let mut other = beat("p:1", "a1", 1);
     other.backend = "eligcheck".into();
-    assert_eq!(cluster.beat("new", &other), BeatKind::Came);
+    assert_eq!(cluster.beat("new", &other), HeartbeatKind::Registered);
     assert_eq!(cluster.state("old"), None);
-    assert_eq!(cluster.beat("old", &beat("p:1", "a1", 51)), BeatKind::Ended);
+    assert_eq!(cluster.beat("old", &beat("p:1", "a1", 51)), HeartbeatKind::Ended);
     assert_eq!(cluster.catalog().servers["new"].backend, "eligcheck");
     // The same where the older life had been withdrawn for its silence.
     cluster.beat("gone", &beat("q:1", "a1", 5));
     cluster.wait(6_000);
     cluster.beat("next", &beat("q:1", "a1", 1));
-    assert_eq!(cluster.beat("gone", &beat("q:1", "a1", 6)), BeatKind::Ended);
+    assert_eq!(cluster.beat("gone", &beat("q:1", "a1", 6)), HeartbeatKind::Ended);
     assert_eq!(cluster.state("next"), Some(ServerState::InService));
 }
 
@@ -80,7 +88,7 @@
     assert_eq!(cluster.expired, ["s8"]);
     cluster.beating.clear();
     cluster.wait(25_000);
-    assert_eq!(cluster.register.servers(), 0, "not for ever");
+    assert_eq!(cluster.register.server_count(), 0, "not for ever");
 }
 
 #[test]
@@ -105,15 +113,15 @@
     assert_eq!(cluster.permit("x").as_deref(), Some("g"));
     let seq = cluster.register.seq();
     cluster.wait(1_500);
-    assert_eq!(cluster.beat("x", &cold("x:1", "a1", 2, 3_500)), BeatKind::Same);
+    assert_eq!(cluster.beat("x", &cold("x:1", "a1", 2, 3_500)), HeartbeatKind::Unchanged);
     assert_eq!(cluster.register.seq(), seq, "a countdown is no news");
     cluster.wait(3_250);
     assert!(cluster.permit("x").is_some());
     cluster.wait(500);
     assert_eq!(cluster.permit("x"), None, "warm by time");
-    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 3)), BeatKind::Same);
-    assert_eq!(cluster.beat("x", &cold("x:1", "a1", 4, 2_000)), BeatKind::Changed, "cold again");
-    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 5)), BeatKind::Changed, "0 is warm at once");
+    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 3)), HeartbeatKind::Unchanged);
+    assert_eq!(cluster.beat("x", &cold("x:1", "a1", 4, 2_000)), HeartbeatKind::Changed, "cold again");
+    assert_eq!(cluster.beat("x", &beat("x:1", "a1", 5)), HeartbeatKind::Changed, "0 is warm at once");
 }
 
 #[test]
@@ -143,12 +151,12 @@
     cluster.beat("x", &cold("x:1", "a1", 1, 60_000));
     assert_eq!(cluster.permit("x").as_deref(), Some("g"));
     // A connection that breaks and comes back moves nothing.
-    cluster.register.gateway_left(cluster.now, "g", 1);
+    cluster.register.gateway_disconnected(cluster.now, "g", 1);
     cluster.wait(250);
     assert_eq!(cluster.permit("x").as_deref(), Some("g"));
     // One that says it leaves loses it at once.
     cluster.calling = vec![("h", "a2")];
-    cluster.register.called(cluster.now, &hello("g", "a1", 1, false));
+    cluster.register.record_watch_call(cluster.now, &hello("g", "a1", 1, false));
     cluster.wait(250);
     assert_eq!(cluster.permit("x").as_deref(), Some(""));
     cluster.wait(2_750);
@@ -167,7 +175,7 @@
     cluster.wait(5_250);
     assert_eq!(cluster.expired, ["x"]);
     cluster.calling = vec![("h", "a2")];
-    cluster.register.called(cluster.now, &hello("g", "a1", 1, false));
+    cluster.register.record_watch_call(cluster.now, &hello("g", "a1", 1, false));
     cluster.beat("x", &cold("x:1", "a1", 2, 60_000));
     assert_eq!(
         cluster.permit("x").as_deref(),
@@ -186,14 +194,14 @@
     cluster.beat("x", &beat("x:1", "a1", 1));
     cluster.beat("y", &beat("y:1", "a1", 1));
     cluster.beat("z", &beat("z:1", "b1", 1));
-    cluster.register.evacuated(cluster.now, zones(["a1", "b1"]));
+    cluster.register.set_evacuated_zones(cluster.now, zones(["a1", "b1"]));
     cluster.wait(1_000);
     let mut gateway = cluster.copy();
-    assert_eq!(*gateway.catalog().evacuated, zones(["a1", "b1"]));
-    cluster.register.evacuated(cluster.now, zones(["b1"]));
+    assert_eq!(*gateway.catalog().evacuated_zones, zones(["a1", "b1"]));
+    cluster.register.set_evacuated_zones(cluster.now, zones(["b1"]));
     cluster.tell(&mut gateway, Caller::Gateway).expect("news");
     let permit = |id: &str| gateway.catalog().servers[id].cold.clone();
-    assert_eq!(*gateway.catalog().evacuated, zones(["b1"]));
+    assert_eq!(*gateway.catalog().evacuated_zones, zones(["b1"]));
     assert_eq!((permit("x"), permit("z")), (Some(String::new()), None), "barred with the withdrawal");
     cluster.now += 100;
     cluster.beat("x", &beat("x:1", "a1", 2));
@@ -216,18 +224,18 @@
     old.beat("l", &beat("l:1", "a1", 8));
     old.wait(500);
     let mut follower = old.copy();
-    old.register.leave(old.now, "l");
+    old.register.remove_server(old.now, "l");
     old.tell(&mut follower, Caller::Core);
     assert!(old.permit("c").is_some_and(|holder| !holder.is_empty()));
 
     let mut new = Cluster::from(70_000, 2, Some(follower));
-    assert!(!new.register.gathering());
-    assert_eq!(new.register.gateways(), 2);
+    assert!(!new.register.is_gathering());
+    assert_eq!(new.register.gateway_count(), 2);
     assert_eq!(new.permit("c").as_deref(), Some(""), "the old leader's may still be gone by");
     new.beating = old.beating;
     new.beat("c", &cold("c:1", "a1", 2, 60_000));
-    assert_eq!(new.beat("l", &beat("l:1", "a1", 8)), BeatKind::Doubted, "late, after its end");
-    assert_eq!(new.beat("l", &beat("l:1", "a1", 8)), BeatKind::Late);
+    assert_eq!(new.beat("l", &beat("l:1", "a1", 8)), HeartbeatKind::Unconfirmed, "late, after its end");
+    assert_eq!(new.beat("l", &beat("l:1", "a1", 8)), HeartbeatKind::Stale);
     // Which of its calls said that it drains isn't told by the copy.
     new.beat("d", &beat("d:1", "a1", 4));
     assert_eq!(new.state("d"), Some(ServerState::Draining));
@@ -240,7 +248,11 @@
     assert!(new.expired.is_empty(), "all had their time to find it");
     new.wait(2_500);
     assert_eq!(new.expired, ["c", "d"]);
-    assert_eq!(new.beat("l", &beat("l:1", "a1", 9)), BeatKind::Came, "alive: it had only been silent");
+    assert_eq!(
+        new.beat("l", &beat("l:1", "a1", 9)),
+        HeartbeatKind::Registered,
+        "alive: it had only been silent"
+    );
 }
 
 #[test]
@@ -253,12 +265,12 @@
     old.wait(3_250);
     old.beat("cold", &cold("cold:1", "b1", 9, 60_000));
     assert_eq!(old.permit("cold").as_deref(), Some("g"));
-    old.register.evacuated(old.now, zones(["a1"]));
+    old.register.set_evacuated_zones(old.now, zones(["a1"]));
     old.wait(1_000);
     let mut gateway = old.copy();
 
     let mut new = Cluster::from(20_000, 2, None);
-    new.register.evacuated(new.now, zones([]));
+    new.register.set_evacuated_zones(new.now, zones([]));
     new.beat("s0", &beat("s0:1", "a1", 99));
     new.beat("x", &beat("x:1", "a1", 8));
     new.tell(&mut gateway, Caller::Gateway).expect("news");
@@ -268,19 +280,19 @@
     assert_eq!(catalog.servers["s1"].cold.as_deref(), Some(""), "may have turned cold with nobody to know");
     assert_eq!(catalog.servers["cold"].cold.as_deref(), Some(""), "its permit was the old leader's to lend");
     assert_eq!(catalog.servers["x"].state, ServerState::Draining, "no way back through an older word");
-    new.register.evacuated(new.now, zones(["b1"]));
+    new.register.set_evacuated_zones(new.now, zones(["b1"]));
     new.tell(&mut gateway, Caller::Gateway).expect("news");
     assert_eq!(gateway.catalog().servers["lost"].cold, None);
-    new.register.evacuated(new.now, zones([]));
+    new.register.set_evacuated_zones(new.now, zones([]));
     new.tell(&mut gateway, Caller::Gateway).expect("news");
     assert_eq!(gateway.catalog().servers["lost"].cold.as_deref(), Some(""), "unknown to the new leader");
-    let mut follower = Copy::new();
+    let mut follower = WatchCache::new();
     new.tell(&mut follower, Caller::Core);
-    assert!(!follower.complete(), "a successor must gather again");
+    assert!(!follower.is_complete(), "a successor must gather again");
 
     new.beating = vec![("s0".into(), "a1", "s0:1".into(), 100), ("s1".into(), "a1", "s1:1".into(), 100)];
     new.wait(7_000);
-    assert!(!new.register.gathering());
+    assert!(!new.register.is_gathering());
     new.tell(&mut gateway, Caller::Gateway).expect("news");
     assert!(!gateway.catalog().servers.contains_key("lost"));
     assert_eq!(gateway.catalog().servers, new.catalog().servers);
@@ -296,11 +308,11 @@
     let mut last = cold("l:1", "b1", 1, 9_000);
     (last.backend, last.state) = ("eligcheck".into(), ServerState::Draining);
     cluster.beat("l", &last);
-    let tally = cluster.register.tally();
+    let tally = cluster.register.server_counts();
     assert_eq!(tally["bookdesk"], [("in_service", 2), ("cold", 1), ("draining", 1)].into());
     assert_eq!(tally["eligcheck"], [("draining", 1)].into(), "one that leaves is not warming up");
-    cluster.register.leave(cluster.now, "l");
-    assert!(!cluster.register.tally().contains_key("eligcheck"));
+    cluster.register.remove_server(cluster.now, "l");
+    assert!(!cluster.register.server_counts().contains_key("eligcheck"));
 }
 
 /// A register that is whole, with the servers `stays`, `drains` and `ends`.
@@ -322,15 +334,27 @@
     let leaving = BTreeMap::from([("drains".to_owned(), 4), ("unknown".to_owned(), 4)]);
     let ended = BTreeSet::from(["ends".to_owned(), "never heard of".to_owned()]);
     let mut register = Register::new(now, tuning(), 9, Some(copy));
-    register.departed(now, &leaving, &ended);
+    register.apply_departures(now, &leaving, &ended);
     let states = ["stays", "drains", "ends", "unknown"].map(|id| register.server_state(id));
     assert_eq!(states, [Some(ServerState::InService), Some(ServerState::Draining), None, None]);
     // Beats of before the departures, and one that came after.
-    assert_eq!(register.beat(now, "drains", &beat("drains:1", "a1", 3)).kind, BeatKind::Late);
-    assert_eq!(register.beat(now, "unknown", &beat("unknown:1", "a1", 3)).kind, BeatKind::Late);
-    assert_eq!(register.beat(now, "ends", &beat("ends:1", "a1", 99)).kind, BeatKind::Ended);
-    assert_eq!(register.beat(now, "never heard of", &beat("n:1", "a1", 1)).kind, BeatKind::Ended);
-    assert_eq!(register.beat(now, "unknown", &draining("unknown:1", "a1", 5)).kind, BeatKind::Came);
+    assert_eq!(
+        register.record_heartbeat(now, "drains", &beat("drains:1", "a1", 3)).kind,
+        HeartbeatKind::Stale
+    );
+    assert_eq!(
+        register.record_heartbeat(now, "unknown", &beat("unknown:1", "a1", 3)).kind,
+        HeartbeatKind::Stale
+    );
+    assert_eq!(register.record_heartbeat(now, "ends", &beat("ends:1", "a1", 99)).kind, HeartbeatKind::Ended);
+    assert_eq!(
+        register.record_heartbeat(now, "never heard of", &beat("n:1", "a1", 1)).kind,
+        HeartbeatKind::Ended
+    );
+    assert_eq!(
+        register.record_heartbeat(now, "unknown", &draining("unknown:1", "a1", 5)).kind,
+        HeartbeatKind::Registered
+    );
     assert_eq!(register.server_state("unknown"), Some(ServerState::Draining));
 }
 
@@ -342,8 +366,8 @@
     let mut copy = with_three_servers().copy();
     let now = 50_000;
     let mut register = Register::new(now, tuning(), 9, None);
-    register.departed(now, &draining, &ended);
-    let call = copy.ask(Caller::Gateway, "g", 1, None, 0);
+    register.apply_departures(now, &draining, &ended);
+    let call = copy.watch_call(Caller::Gateway, "g", 1, None, 0);
     let answer = register.answer(now, &call, 0).expect("a new leader's answer");
     assert!(!answer.whole);
     copy.apply(answer).expect("of a newer term");
--- a/crates/replica/examples/change_cost.rs
+++ b/crates/replica/examples/change_cost.rs
@@ -6,7 +6,7 @@
 
 use nickeljunction_consensus::{Restored, Tuning};
 use nickeljunction_messages::{Caller, GatewayLine, Member, WatchAnswer, WatchCall};
-use nickeljunction_registry::Copy;
+use nickeljunction_registry::WatchCache;
 use nickeljunction_replica::{Answer, Change, Effects, Place, Replica};
 use nickeljunction_routing::Table;
 use nickeljunction_schema::{Bounds, Document};
@@ -112,15 +112,15 @@
     }
 }
 
-fn ask(copy: &Copy, gateway: usize) -> WatchCall {
+fn ask(copy: &WatchCache, gateway: usize) -> WatchCall {
     let name = format!("edge-{gateway}");
     let line =
         GatewayLine { name: name.clone(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
-    copy.ask(Caller::Gateway, &name, 7, Some(line), 1_000)
+    copy.watch_call(Caller::Gateway, &name, 7, Some(line), 1_000)
 }
 
 /// What a gateway does with an answer.
-fn gateway(copy: &mut Copy, text: &[u8]) {
+fn gateway(copy: &mut WatchCache, text: &[u8]) {
     let answer: WatchAnswer = serde_json::from_slice(text).expect("an answer");
     assert!(copy.apply(answer).expect("it fits").config);
     let config = Document::view(&copy.catalog().config.as_ref().expect("one").doc).expect("checked");
@@ -143,7 +143,7 @@
     let doc = document(routes, tenants);
     let mut core = Core::new();
     let whole_entry = core.change(false, 0, &doc);
-    let mut copy = Copy::new();
+    let mut copy = WatchCache::new();
     let first = serde_json::to_vec(&core.watch(&ask(&copy, 0))).expect("JSON");
     gateway(&mut copy, &first);
     let [mut check, mut tell, mut apply, mut compile] = [(); 4].map(|()| Least(f64::INFINITY));
--- a/crates/replica/src/divergence.rs
+++ b/crates/replica/src/divergence.rs
@@ -13,7 +13,7 @@
 use crate::machine::Replica;
 use crate::state::{Entry, Outcome, ReplicatedState};
 use nickeljunction_messages::Restated;
-use nickeljunction_registry::Changes;
+use nickeljunction_registry::ConfigHistory;
 use std::collections::VecDeque;
 
 /// Entries that are held at most. Beyond that the oldest go, and only a newer state will do.
@@ -74,7 +74,7 @@
     pub(crate) fn hold(&mut self, now: u64, index: u64, entry: Entry) {
         if self.divergence.is_none() {
             self.out.events.push(Event::Diverged { index, version: self.state.version() });
-            self.changes = Changes::default();
+            self.changes = ConfigHistory::default();
             self.book.resign(now);
         }
         self.divergence.get_or_insert_default().hold(index, entry);
--- a/crates/replica/src/effects.rs
+++ b/crates/replica/src/effects.rs
@@ -4,7 +4,7 @@
 use crate::state::{Outcome, Trial};
 use nickeljunction_consensus::{Entry, Envelope, Write};
 use nickeljunction_messages::{ClaimAnswer, Elsewhere, ServerState, UnitsAnswer};
-use nickeljunction_registry::Copy;
+use nickeljunction_registry::WatchCache;
 
 /// Names a call that waits for its answer.
 pub type Ticket = u64;
@@ -23,7 +23,7 @@
     /// [`crate::Replica::next_wake`] may have come nearer.
     pub sooner: bool,
     /// To be kept on the machine for a next process, without a sync.
-    pub hint: Option<Copy>,
+    pub hint: Option<WatchCache>,
     /// In the order in which they came.
     pub events: Vec<Event>,
     /// Entries that were applied, in the log's order: for who checks what the machine does.
--- a/crates/replica/src/lapsed_trials.rs
+++ b/crates/replica/src/lapsed_trials.rs
@@ -6,7 +6,7 @@
 use crate::state::{Entry, ReplicatedState, Trial, TrialOrder};
 use nickeljunction_messages::{EbbAnswer, EbbCall, Elsewhere};
 use nickeljunction_pacing::{Curve, Pacer};
-use nickeljunction_registry::Tide;
+use nickeljunction_registry::TrialState;
 use nickeljunction_schema::Config;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
         now: u64,
         state: &ReplicatedState,
         config: &Config,
-    ) -> (Vec<String>, Vec<Tide>) {
+    ) -> (Vec<String>, Vec<TrialState>) {
         let live = std::mem::replace(&mut self.begun, true);
         let trials = state.trials();
         let known = |tenant: &String| self.turns.contains_key(tenant);
@@ -89,11 +89,11 @@
                 changed.push(tenant.clone());
             }
         }
-        let tide = |(tenant, turn): (&String, &Turn)| Tide {
+        let tide = |(tenant, turn): (&String, &Turn)| TrialState {
             tenant: tenant.clone(),
             step: turn.trial.step,
             stage: turn.trial.stage,
-            holds: turn.holds,
+            effective_at_ms: turn.holds,
         };
         (if live { changed } else { Vec::new() }, self.turns.iter().map(tide).collect())
     }
@@ -221,7 +221,7 @@
         let config = self.config();
         let Some(lead) = &mut self.lead else { return };
         let (changed, tides) = lead.tides.log(now, &self.state, &config);
-        lead.register.trials(tides);
+        lead.register.set_trials(tides);
         for tenant in changed {
             let trial = self.state.trial(&tenant);
             self.out.events.push(Event::Trial { tenant, trial });
@@ -234,7 +234,7 @@
     /// This member doesn't lead, or is not sure of it.
     pub fn ebb(&mut self, now: u64, call: &EbbCall) -> Result<EbbAnswer, Elsewhere> {
         self.with_lead(now, |lead, _| {
-            let gateways = lead.register.gateways() as usize;
+            let gateways = lead.register.gateway_count() as usize;
             let mut pacer = std::mem::take(&mut lead.tides.pacer);
             let pace = |tenant: &str| lead.tides.pace(tenant);
             let who = (call.name.as_str(), call.life, call.seq);
--- a/crates/replica/src/leader.rs
+++ b/crates/replica/src/leader.rs
@@ -10,14 +10,14 @@
 };
 use nickeljunction_operations::GenerationClock;
 use nickeljunction_quota::{Counter, Limit};
-use nickeljunction_registry::{Beat, BeatKind, Register, Seen};
+use nickeljunction_registry::{CallOutcome, Heartbeat, HeartbeatKind, Register};
 use nickeljunction_schema::{Bounds, Config, Document};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Longest hold of a watch call, ms.
 const MOST_HOLD_MS: u64 = 5_000;
-/// What may wait, see [`Register::pressing`], is told to a caller no sooner than so long after its call, ms: while a fleet
+/// What may wait, see [`Register::has_urgent_changes`], is told to a caller no sooner than so long after its call, ms: while a fleet
 /// starts, gateways and servers come one by one, and each answer costs a call.
 const TOGETHER_MS: u64 = 250;
 /// How long an acknowledgement waits for the gateways that are there to know the change, ms.
@@ -145,7 +145,7 @@
                 self.out.events.push(Event::LeadEnded { term: lead.term });
                 // What it knew is what the next leader starts from, which may be this very member: one whose majority
                 // was away for seconds would else begin with an empty register.
-                let ask = self.copy.ask(Caller::Core, &self.place.name, 0, None, 0);
+                let ask = self.copy.watch_call(Caller::Core, &self.place.name, 0, None, 0);
                 if let Some(answer) = lead.register.answer(now, &ask, 0) {
                     let _ = self.copy.apply(answer);
                 }
@@ -165,12 +165,12 @@
         let known = logged.len();
         let counter = Counter::new(now, term, nickeljunction_quota::Tuning::new(window), logged);
         let mut register = Register::new(now, tuning, term, Some(copy));
-        register.departed(now, departures.draining(), departures.ended());
+        register.apply_departures(now, departures.draining(), departures.ended());
         self.out.events.push(Event::LeadBegun {
             term,
             version: self.state.version(),
-            servers: register.servers(),
-            gateways: register.gateways(),
+            servers: register.server_count(),
+            gateways: register.gateway_count(),
             unheard: known,
             held_ms: counter.held_ms(),
         });
@@ -198,15 +198,15 @@
         let config = self.config();
         self.publish_tides(now);
         let Some(lead) = &mut self.lead else { return };
-        lead.register.evacuated(now, self.state.evacuated().clone());
-        lead.register.core(self.book.members().iter().map(|member| member.host.clone()).collect());
+        lead.register.set_evacuated_zones(now, self.state.evacuated().clone());
+        lead.register.set_core_hosts(self.book.members().iter().map(|member| member.host.clone()).collect());
         lead.counter.logged(self.state.gateways());
         let version = self.state.version();
         if version > lead.version {
             lead.version = version;
             lead.counter.limits(now, &limits_of(&config, &self.place.bounds));
             let line = Rc::new(ConfigLine { version, doc: self.state.doc().clone() });
-            lead.register.config(line, self.state.document_digest(), self.changes.clone());
+            lead.register.set_config(line, self.state.document_digest(), self.changes.clone());
         }
     }
 
@@ -261,7 +261,7 @@
 
     fn lend(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, Elsewhere> {
         self.with_lead(now, |lead, age_ms| {
-            let gateways = lead.register.gateways() as usize;
+            let gateways = lead.register.gateway_count() as usize;
             UnitsAnswer { age_ms, version: lead.version, ..lead.counter.call(now, call, gateways) }
         })
     }
@@ -273,9 +273,9 @@
     pub fn called(&mut self, now: u64, call: &WatchCall) -> Result<Held, Elsewhere> {
         let (seen, term) = self.with_lead(now, |lead, _| {
             *lead.watching.entry(call.life).or_default() += 1;
-            (lead.register.called(now, call), lead.term)
+            (lead.register.record_watch_call(now, call), lead.term)
         })?;
-        let brief = matches!(seen, Seen::NoLine | Seen::Replaced);
+        let brief = matches!(seen, CallOutcome::MissingLine | CallOutcome::ReplacedProcess);
         let end = now + call.wait_ms.min(MOST_HOLD_MS);
         Ok(Held { brief, together_at: end.min(now + TOGETHER_MS), end, term })
     }
@@ -292,11 +292,11 @@
     ) -> Result<Option<WatchAnswer>, Elsewhere> {
         let last = held.brief || now >= held.end || call.diverged;
         let answer = self.with_lead(now, |lead, age| {
-            if !last && now < held.together_at && !lead.register.pressing(call) {
+            if !last && now < held.together_at && !lead.register.has_urgent_changes(call) {
                 return None;
             }
             let news = lead.register.answer(now, call, age);
-            news.or_else(|| last.then(|| lead.register.nothing(age)))
+            news.or_else(|| last.then(|| lead.register.empty_answer(age)))
         });
         if !matches!(answer, Ok(None)) {
             self.unwatched(call, held);
@@ -316,7 +316,8 @@
         // Whoever leads by then has a watch of its own.
         if self.unwatched(call, held) && call.who == Caller::Gateway {
             self.out.events.push(Event::GatewayAway { name: call.name.clone() });
-            let _ = self.with_lead(now, |lead, _| lead.register.gateway_left(now, &call.name, call.life));
+            let _ =
+                self.with_lead(now, |lead, _| lead.register.gateway_disconnected(now, &call.name, call.life));
         }
     }
 
@@ -324,9 +325,9 @@
     ///
     /// # Errors
     /// As all here.
-    pub fn beat(&mut self, now: u64, id: &str, beat: &Beat) -> Result<Option<Round>, Elsewhere> {
-        let outcome = self.with_lead(now, |lead, _| lead.register.beat(now, id, beat))?;
-        if matches!(outcome.kind, BeatKind::Came | BeatKind::Changed) {
+    pub fn beat(&mut self, now: u64, id: &str, beat: &Heartbeat) -> Result<Option<Round>, Elsewhere> {
+        let outcome = self.with_lead(now, |lead, _| lead.register.record_heartbeat(now, id, beat))?;
+        if matches!(outcome.kind, HeartbeatKind::Registered | HeartbeatKind::Changed) {
             self.out.events.push(Event::Server {
                 life: id.into(),
                 backend: beat.backend.clone(),
@@ -337,15 +338,15 @@
         }
         if beat.state == ServerState::Draining {
             let departure = Departure::Draining { call_seq: beat.call_seq };
-            let departure = (outcome.kind != BeatKind::Late).then_some(departure);
-            return self.begin_round(now, id, outcome.at, departure).map(Some);
+            let departure = (outcome.kind != HeartbeatKind::Stale).then_some(departure);
+            return self.begin_round(now, id, outcome.seq, departure).map(Some);
         }
         self.note_return(now, id, beat);
         Ok(None)
     }
 
     /// A server that drained says that it serves.
-    fn note_return(&mut self, now: u64, id: &str, beat: &Beat) {
+    fn note_return(&mut self, now: u64, id: &str, beat: &Heartbeat) {
         let said = self.state.departures().draining().get(id);
         let is_later = said.is_some_and(|call_seq| *call_seq < beat.call_seq);
         let Some(lead) = self.lead.as_mut().filter(|_| is_later) else { return };
@@ -360,7 +361,7 @@
     /// # Errors
     /// As all here.
     pub fn gone(&mut self, now: u64, id: &str) -> Result<Round, Elsewhere> {
-        let seq = self.with_lead(now, |lead, _| lead.register.leave(now, id))?;
+        let seq = self.with_lead(now, |lead, _| lead.register.remove_server(now, id))?;
         self.out.events.push(Event::ServerGone { life: id.into() });
         self.begin_round(now, id, seq, Some(Departure::Ended))
     }
@@ -425,7 +426,11 @@
     /// As all here, and where the log doesn't have it in time: whoever leads next might never hear of it.
     pub fn come_round(&mut self, now: u64, round: &Round) -> Result<bool, Elsewhere> {
         let (reach, term, is_logged) = self.with_lead(now, |lead, _| {
-            (lead.register.reach(now, round.seq), lead.term, lead.departures.has_logged(round.departure))
+            (
+                lead.register.propagation(now, round.seq),
+                lead.term,
+                lead.departures.has_logged(round.departure),
+            )
         })?;
         // Another lead of this member has other numbers.
         if term != round.term {
@@ -434,6 +439,6 @@
         if !is_logged {
             return if now >= round.logged_until { Err(self.elsewhere()) } else { Ok(false) };
         }
-        Ok(reach.gateways >= reach.gateways_there || now >= round.gateways_until)
+        Ok(reach.gateways >= reach.connected_gateways || now >= round.gateways_until)
     }
 }
--- a/crates/replica/src/machine.rs
+++ b/crates/replica/src/machine.rs
@@ -11,7 +11,7 @@
 use nickeljunction_messages::{Caller, Elsewhere, GatewayLine, WatchAnswer, WatchCall};
 use nickeljunction_operations::ClaimLog;
 use nickeljunction_quota::Counter;
-use nickeljunction_registry::{Applied, Changes, Copy, Refused, Register};
+use nickeljunction_registry::{ApplyError, CatalogUpdate, ConfigHistory, Register, WatchCache};
 use nickeljunction_schema::Bounds;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
     /// `state` isn't the log's.
     pub(crate) divergence: Option<Divergence>,
     /// What the last entries changed in the document.
-    pub(crate) changes: Changes,
+    pub(crate) changes: ConfigHistory,
     /// The newest document that was checked here.
     pub(crate) checked: Option<Checked>,
     snapshot_at: u64,
@@ -69,7 +69,7 @@
     /// So many orders on the core's members does `book` know.
     away_from: u64,
     pub(crate) lead: Option<Lead>,
-    pub(crate) copy: Copy,
+    pub(crate) copy: WatchCache,
     pub(crate) next_ticket: Ticket,
     /// Calls whose entries are on their way, by index, with their term and the time of their last moment.
     pub(crate) waits: BTreeMap<u64, (u64, u64, Proposed)>,
@@ -97,14 +97,14 @@
             state: ReplicatedState::default(),
             applied: 0,
             divergence: None,
-            changes: Changes::default(),
+            changes: ConfigHistory::default(),
             checked: None,
             snapshot_at: 0,
             snapshot_bytes: 0,
             entry_bytes: 0,
             away_from: 0,
             lead: None,
-            copy: Copy::new(),
+            copy: WatchCache::new(),
             next_ticket: 0,
             waits: BTreeMap::new(),
             claims: ClaimLog::default(),
@@ -119,7 +119,7 @@
     }
 
     /// What was known of servers and gateways when this machine's process before ended.
-    pub fn remember(&mut self, copy: Copy) {
+    pub fn remember(&mut self, copy: WatchCache) {
         self.copy = copy;
     }
 
@@ -217,7 +217,7 @@
 
     fn carry_out(&mut self, now: u64, outputs: Outputs) {
         if let Some(snapshot) = outputs.restored_state {
-            (self.divergence, self.changes) = (None, Changes::default());
+            (self.divergence, self.changes) = (None, ConfigHistory::default());
             // The very first one holds only the members.
             match snapshot.state.is_empty() {
                 true => self.state = ReplicatedState::default(),
@@ -329,8 +329,8 @@
         }
         let copy = match &self.lead {
             Some(lead) => {
-                let mut copy = Copy::new();
-                let ask = copy.ask(Caller::Core, &self.place.name, 0, None, 0);
+                let mut copy = WatchCache::new();
+                let ask = copy.watch_call(Caller::Core, &self.place.name, 0, None, 0);
                 if let Some(answer) = lead.register.answer(now, &ask, 0) {
                     let _ = copy.apply(WatchAnswer { config: None, ..answer });
                 }
@@ -338,7 +338,7 @@
             }
             None => self.copy.clone(),
         };
-        if copy.complete() {
+        if copy.is_complete() {
             (self.noted, self.noted_at) = (known, now);
             self.out.hint = Some(copy);
         }
@@ -354,7 +354,7 @@
 
     /// The call that asks a leader for what is new.
     pub fn ask(&self, life: u64) -> WatchCall {
-        let call = self.copy.ask(Caller::Core, &self.place.name, life, None, HOLD_MS);
+        let call = self.copy.watch_call(Caller::Core, &self.place.name, life, None, HOLD_MS);
         WatchCall { diverged: self.wants_state(), ..call }
     }
 
@@ -362,10 +362,10 @@
     ///
     /// # Errors
     /// It leads back.
-    pub fn learned(&mut self, now: u64, mut answer: WatchAnswer) -> Result<Applied, Refused> {
+    pub fn learned(&mut self, now: u64, mut answer: WatchAnswer) -> Result<CatalogUpdate, ApplyError> {
         // A leader's own registers are the truth.
         if self.lead.is_some() {
-            return Ok(Applied::default());
+            return Ok(CatalogUpdate::default());
         }
         let restated = answer.restated.take();
         let applied = self.copy.apply(answer)?;
@@ -396,7 +396,7 @@
     }
 
     /// What a leader told, while another one leads.
-    pub fn copy(&self) -> &Copy {
+    pub fn copy(&self) -> &WatchCache {
         &self.copy
     }
 
--- a/crates/replica/src/operations_view.rs
+++ b/crates/replica/src/operations_view.rs
@@ -102,7 +102,7 @@
         };
         let holder = holding.claimant;
         let register = self.lead.as_ref().map(|lead| &lead.register);
-        let gateway = register.and_then(|register| register.gateway_of_life(now, holder.life));
+        let gateway = register.and_then(|register| register.gateway_status(now, holder.life));
         let away_ms = gateway.as_ref().and_then(|gateway| gateway.away_ms);
         let state = match (&gateway, away_ms) {
             (None, _) => "holder_unknown",
--- a/crates/replica/src/state.rs
+++ b/crates/replica/src/state.rs
@@ -5,7 +5,7 @@
 use crate::order_memory::{FormerRecord, OrderMemory, Recall};
 use nickeljunction_consensus::Away;
 use nickeljunction_operations::{OperationTable, OperationsEntry};
-use nickeljunction_registry::Changes;
+use nickeljunction_registry::ConfigHistory;
 use nickeljunction_schema::{Difference, DocumentDigest};
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::Value;
@@ -221,11 +221,11 @@
 impl ReplicatedState {
     /// Takes the next entry of the log.
     pub fn apply(&mut self, entry: Entry) -> Outcome {
-        self.apply_noting(entry, &mut Changes::default())
+        self.apply_noting(entry, &mut ConfigHistory::default())
     }
 
     /// The same; which places of the document it changed is added to `changes`.
-    pub fn apply_noting(&mut self, entry: Entry, changes: &mut Changes) -> Outcome {
+    pub fn apply_noting(&mut self, entry: Entry, changes: &mut ConfigHistory) -> Outcome {
         match entry {
             Entry::Put { base, version, digest, doc } => {
                 if let Some(settled) = self.settled(base, version, &digest) {
--- a/crates/replica/tests/departure_model.rs
+++ b/crates/replica/tests/departure_model.rs
@@ -5,7 +5,7 @@
 //! successor starts are as old as they like. Each guard is taken out in turn, and the fault that it keeps away is found.
 
 use nickeljunction_messages::ServerState;
-use nickeljunction_registry::{Beat, Copy, Register, Tuning};
+use nickeljunction_registry::{Heartbeat, Register, Tuning, WatchCache};
 use nickeljunction_replica::departures::{Departure, DepartureLog, Departures};
 use nickeljunction_replica::state::Entry;
 use std::collections::BTreeMap;
@@ -59,8 +59,8 @@
     ProposeAgain,
 }
 
-fn beat(state: ServerState, call_seq: u64) -> Beat {
-    Beat {
+fn beat(state: ServerState, call_seq: u64) -> Heartbeat {
+    Heartbeat {
         address: "10.2.0.1:80".into(),
         backend: "b".into(),
         version: "v1".into(),
@@ -77,22 +77,22 @@
 }
 
 /// The copy that every leader starts from: the server serves.
-fn old_copy() -> Copy {
+fn old_copy() -> WatchCache {
     let mut register = Register::new(0, tuning(), 1, None);
-    register.beat(0, ID, &beat(ServerState::InService, 1));
+    register.record_heartbeat(0, ID, &beat(ServerState::InService, 1));
     (0..100).for_each(|step| drop(register.tick(step * 100)));
-    register.beat(9_900, ID, &beat(ServerState::InService, 2));
-    let mut copy = Copy::new();
-    let call = copy.ask(nickeljunction_messages::Caller::Core, "core-2", 1, None, 0);
+    register.record_heartbeat(9_900, ID, &beat(ServerState::InService, 2));
+    let mut copy = WatchCache::new();
+    let call = copy.watch_call(nickeljunction_messages::Caller::Core, "core-2", 1, None, 0);
     let answer = register.answer(10_000, &call, 0).expect("all of it");
     copy.apply(answer).expect("the first");
-    assert!(copy.complete() && copy.catalog().servers.contains_key(ID));
+    assert!(copy.is_complete() && copy.catalog().servers.contains_key(ID));
     copy
 }
 
 struct World {
     out: Option<Guard>,
-    copy: Copy,
+    copy: WatchCache,
     now: u64,
     term: u64,
     register: Register,
@@ -109,7 +109,7 @@
 }
 
 impl World {
-    fn new(copy: &Copy, out: Option<Guard>) -> World {
+    fn new(copy: &WatchCache, out: Option<Guard>) -> World {
         let now = 20_000;
         World {
             out,
@@ -157,7 +157,7 @@
         self.term += 1;
         self.register = Register::new(self.now, tuning(), self.term, Some(self.copy.clone()));
         if self.has(Guard::ApplyOnTakeover) {
-            self.register.departed(self.now, self.state.draining(), self.state.ended());
+            self.register.apply_departures(self.now, self.state.draining(), self.state.ended());
         }
         self.log = DepartureLog::default();
         self.waiting.clear();
@@ -169,15 +169,15 @@
             Act::Drain => {
                 self.call_seq += 1;
                 let beat = beat(ServerState::Draining, self.call_seq);
-                self.register.beat(self.now, ID, &beat);
+                self.register.record_heartbeat(self.now, ID, &beat);
                 self.say(Departure::Draining { call_seq: self.call_seq });
             }
             Act::End => {
-                self.register.leave(self.now, ID);
+                self.register.remove_server(self.now, ID);
                 self.say(Departure::Ended);
             }
             Act::LateBeat => {
-                self.register.beat(self.now, ID, &beat(ServerState::InService, 2));
+                self.register.record_heartbeat(self.now, ID, &beat(ServerState::InService, 2));
             }
             Act::Commit => {
                 // What timed out is committed before what came after it.
--- a/crates/replica/tests/member.rs
+++ b/crates/replica/tests/member.rs
@@ -5,7 +5,7 @@
     Caller, ClaimCall, Claimant, EbbCall, GatewayLine, Member, OperationId, ServerState, TenantUnits,
     UnitsCall, WatchAnswer, WatchCall,
 };
-use nickeljunction_registry::{Beat, Copy};
+use nickeljunction_registry::{Heartbeat, WatchCache};
 use nickeljunction_replica::departures::Departure;
 use nickeljunction_replica::{Answer, Change, Held, Lent, Place, Replica, Ticket};
 use nickeljunction_schema::Bounds;
@@ -155,8 +155,8 @@
     })
 }
 
-fn beat() -> Beat {
-    Beat {
+fn beat() -> Heartbeat {
+    Heartbeat {
         address: "10.2.0.1:80".into(),
         backend: "b".into(),
         version: "v1".into(),
@@ -218,7 +218,7 @@
     assert_eq!(core.leader(), leader);
     assert!(core.houses[leader].book().term() > term);
     let (register, _) = core.houses[leader].leads().expect("it leads again");
-    assert_eq!((register.servers(), register.roster().len()), (1, 1));
+    assert_eq!((register.server_count(), register.roster().len()), (1, 1));
 }
 
 #[test]
@@ -254,7 +254,7 @@
         let round = core.at(leader, |house, now| match ends {
             true => house.gone(now, "i-1"),
             false => {
-                let draining = Beat { state: ServerState::Draining, call_seq: 2, ..beat() };
+                let draining = Heartbeat { state: ServerState::Draining, call_seq: 2, ..beat() };
                 house.beat(now, "i-1", &draining).map(|round| round.expect("a drain"))
             }
         });
@@ -325,7 +325,7 @@
 fn a_server_that_drained_and_serves_again_is_no_departure_any_more() {
     let mut core = Core::new(24);
     let leader = core.leader();
-    let say = |state, call_seq| Beat { state, call_seq, ..beat() };
+    let say = |state, call_seq| Heartbeat { state, call_seq, ..beat() };
     let draining = say(ServerState::Draining, 2);
     core.at(leader, |house, now| house.beat(now, "i-1", &draining)).expect("it leads");
     core.run(10);
@@ -368,11 +368,11 @@
 fn what_must_not_wait_is_told_at_once() {
     let mut core = Core::new(11);
     let leader = core.leader();
-    let mut copy = Copy::new();
+    let mut copy = WatchCache::new();
     let line = GatewayLine { name: "g".into(), ..watch(7).line.expect("a line") };
-    let ask = |copy: &Copy| WatchCall {
+    let ask = |copy: &WatchCache| WatchCall {
         directory: true,
-        ..copy.ask(Caller::Gateway, "g", 9, Some(line.clone()), 1_000)
+        ..copy.watch_call(Caller::Gateway, "g", 9, Some(line.clone()), 1_000)
     };
     let other = |ready| {
         let line = GatewayLine { ready, ..watch(7).line.expect("a line") };
@@ -394,7 +394,7 @@
         }
         core.now - began
     };
-    let say = |state, call_seq| Beat { state, call_seq, ..beat() };
+    let say = |state, call_seq| Heartbeat { state, call_seq, ..beat() };
     let arrival = held_ms(&mut core, &|house, now| {
         let _ = house.beat(now, "i-1", &say(ServerState::InService, 1));
     });
@@ -560,7 +560,7 @@
 
 struct Gateway {
     name: String,
-    copy: Copy,
+    copy: WatchCache,
     under: Under,
     /// Bytes and answers.
     told: (usize, usize),
@@ -568,16 +568,16 @@
 
 impl Gateway {
     fn new(number: usize, start: u64) -> Gateway {
-        let (name, copy) = (format!("edge-atl-north-{number}"), Copy::new());
+        let (name, copy) = (format!("edge-atl-north-{number}"), WatchCache::new());
         let under = Under::Way(start, Gateway::ask(&name, &copy));
         Gateway { name, copy, under, told: (0, 0) }
     }
 
-    fn ask(name: &str, copy: &Copy) -> WatchCall {
+    fn ask(name: &str, copy: &WatchCache) -> WatchCall {
         let ready = copy.term() > 0;
         let line =
             GatewayLine { name: name.into(), front: "10.1.0.255:8481".into(), zone: "z1".into(), ready };
-        WatchCall { directory: true, ..copy.ask(Caller::Gateway, name, 7, Some(line), 1_000) }
+        WatchCall { directory: true, ..copy.watch_call(Caller::Gateway, name, 7, Some(line), 1_000) }
     }
 
     fn turn(&mut self, core: &mut Core, leader: usize) {
@@ -619,7 +619,7 @@
             let first = start + 4 * server as u64;
             if core.now >= first && (core.now - first).is_multiple_of(1_000) {
                 let address = format!("10.1.{}.{}:8261", server / 250, server % 250);
-                let beat = Beat { address, call_seq: core.now, ..beat() };
+                let beat = Heartbeat { address, call_seq: core.now, ..beat() };
                 let id = format!("i-{server:010x}");
                 core.at(leader, |house, now| house.beat(now, &id, &beat)).expect("it leads");
             }
@@ -629,7 +629,7 @@
     let catalog = gateways[0].copy.catalog();
     assert_eq!((catalog.servers.len(), catalog.roster.len()), (SERVERS, GATEWAYS));
     assert!(catalog.roster.iter().all(|line| line.ready));
-    let held = serde_json::to_vec(&gateways[0].copy.whole()).expect("plain data").len();
+    let held = serde_json::to_vec(&gateways[0].copy.to_answer()).expect("plain data").len();
     let bytes = gateways.iter().map(|gateway| gateway.told.0).sum::<usize>() / GATEWAYS;
     let answers = gateways.iter().map(|gateway| gateway.told.1).sum::<usize>() / GATEWAYS;
     println!("{bytes} bytes told in {answers} answers, {held} held");
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -96,18 +96,18 @@
 
 /// What a table says of a host and a path.
 #[derive(Debug, Clone)]
-pub enum Found {
+pub enum RouteMatch {
     /// A route.
     Route(Rc<Route>),
     /// There is none.
-    Nothing,
+    NotFound,
     /// No configuration has come yet: nobody knows.
-    Unknown,
+    NotLoaded,
 }
 
 /// Routes that want a key and tenants whose homes have no region in common: nobody may serve such requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Apart {
+pub struct DisjointHomes {
     /// How many pairs of a route and a tenant.
     pub pairs: usize,
     /// The first of these routes by name, and the first of its tenants.
@@ -127,12 +127,12 @@
     keys: Map<Box<str>, Rc<Tenant>>,
     keyed: bool,
     homes: Homes,
-    apart: Option<Apart>,
+    apart: Option<DisjointHomes>,
 }
 
 impl Table {
     /// The table before any configuration has come.
-    pub fn unknown() -> Table {
+    pub fn empty() -> Table {
         Table::of(&Config::default())
     }
 
@@ -190,24 +190,24 @@
     }
 
     /// What nobody may serve, if anything: most likely a slip of who wrote the configuration.
-    pub fn apart(&self) -> Option<&Apart> {
+    pub fn disjoint_homes(&self) -> Option<&DisjointHomes> {
         self.apart.as_ref()
     }
 
     /// The route for a `Host` line (letters' case and port don't count) and a path without its query: the one with the
     /// longest prefix.
-    pub fn find(&self, host: &str, path: &str) -> Found {
+    pub fn find(&self, host: &str, path: &str) -> RouteMatch {
         if self.version == 0 {
-            return Found::Unknown;
+            return RouteMatch::NotLoaded;
         }
-        let Some(host) = self.hosts.get(&*plain_host(host)) else { return Found::Nothing };
+        let Some(host) = self.hosts.get(&*plain_host(host)) else { return RouteMatch::NotFound };
         let odd = host.odd.iter().find(|(prefix, _)| path.starts_with(&**prefix));
         let least = odd.map_or(0, |(prefix, _)| prefix.len());
         let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/').map(|(at, _)| at + 1);
         let whole = slashes.take_while(|end| *end > least).find_map(|end| host.whole.get(&path[..end]));
         match whole.or(odd.map(|(_, route)| route)) {
-            Some(route) => Found::Route(route.clone()),
-            None => Found::Nothing,
+            Some(route) => RouteMatch::Route(route.clone()),
+            None => RouteMatch::NotFound,
         }
     }
 
@@ -239,12 +239,12 @@
     }
 
     /// Requests on this route need a key.
-    pub fn wants_key(&self, route: &Route) -> bool {
+    pub fn requires_key(&self, route: &Route) -> bool {
         self.keyed && !route.open
     }
 
     /// The tenant that holds a key.
-    pub fn holder(&self, key: &str) -> Option<&Rc<Tenant>> {
+    pub fn tenant_by_key(&self, key: &str) -> Option<&Rc<Tenant>> {
         self.keys.get(key)
     }
 
@@ -260,12 +260,12 @@
 }
 
 /// A region's servers may serve requests with these homes. One in a region that isn't known is at home nowhere.
-pub fn at_home(region: &str, homes: &[String]) -> bool {
+pub fn region_allowed(region: &str, homes: &[String]) -> bool {
     homes.is_empty() || (!region.is_empty() && homes.iter().any(|home| home == region))
 }
 
 /// How near a server is to a gateway, by zone and region of each: 0 in the own zone, 1 in the own region, 2 elsewhere.
-pub fn near(server: (&str, &str), gateway: (&str, &str)) -> u8 {
+pub fn distance(server: (&str, &str), gateway: (&str, &str)) -> u8 {
     match () {
         () if server.0 == gateway.0 => 0,
         () if server.1 == gateway.1 => 1,
@@ -307,13 +307,13 @@
 
     /// Routes and tenants that have no home in common; after [`Homes::meet`]. There are few lists, whatever the number of
     /// routes.
-    fn apart(&mut self, config: &Config) -> Option<Apart> {
+    fn apart(&mut self, config: &Config) -> Option<DisjointHomes> {
         let mut tenants: Map<usize, (usize, &str)> = Map::default();
         for (name, tenant) in &config.tenants {
             let same = tenants.entry(self.index(&tenant.home_regions)).or_insert((0, name));
             same.0 += 1;
         }
-        let mut apart: Option<Apart> = None;
+        let mut apart: Option<DisjointHomes> = None;
         for (name, route) in config.routes.iter().filter(|(_, route)| !route.no_auth) {
             let homes = self.index(&route.home_regions);
             let strange = |other: usize| {
@@ -324,7 +324,7 @@
             else {
                 continue;
             };
-            let first = || Apart { pairs: 0, route: name.as_str().into(), tenant: tenant.into() };
+            let first = || DisjointHomes { pairs: 0, route: name.as_str().into(), tenant: tenant.into() };
             apart.get_or_insert_with(first).pairs += pairs;
         }
         apart
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -16,9 +16,9 @@
 
 fn named(table: &Table, host: &str, path: &str) -> String {
     match table.find(host, path) {
-        Found::Route(route) => route.name.to_string(),
-        Found::Nothing => "-".to_string(),
-        Found::Unknown => "?".to_string(),
+        RouteMatch::Route(route) => route.name.to_string(),
+        RouteMatch::NotFound => "-".to_string(),
+        RouteMatch::NotLoaded => "?".to_string(),
     }
 }
 
@@ -39,12 +39,12 @@
         let first = candidates.iter().find(|(prefix, _)| path.starts_with(prefix));
         assert_eq!(first.map_or("-", |(_, route)| &route.name), wanted, "{host} {path}");
     }
-    assert_eq!(named(&Table::unknown(), "one.example", "/"), "?");
+    assert_eq!(named(&Table::empty(), "one.example", "/"), "?");
 }
 
 #[test]
 fn a_split_goes_by_weight_and_never_to_a_weight_of_nothing() {
-    let Found::Route(route) = table().find("two.example", "/x/1") else { panic!("no route") };
+    let RouteMatch::Route(route) = table().find("two.example", "/x/1") else { panic!("no route") };
     let mut rng = fastrand::Rng::with_seed(11);
     let mut drawn = [0; 3];
     for _ in 0..10_000 {
@@ -61,9 +61,9 @@
 #[test]
 fn a_tenant_that_shares_no_home_with_a_route_is_told() {
     // `deep` is at home in s and r, `u` in q alone; `root` and `v` anywhere.
-    let wanted = Apart { pairs: 1, route: "deep".into(), tenant: "u".into() };
-    assert_eq!(table().apart(), Some(&wanted));
-    assert_eq!(Table::unknown().apart(), None);
+    let wanted = DisjointHomes { pairs: 1, route: "deep".into(), tenant: "u".into() };
+    assert_eq!(table().disjoint_homes(), Some(&wanted));
+    assert_eq!(Table::empty().disjoint_homes(), None);
 }
 
 #[test]
@@ -75,19 +75,19 @@
     assert_eq!(meeting.host_homes("H:80"), Some(vec!["r".to_string()]));
     assert_eq!(table().host_homes("one.example"), Some(vec!["r".to_string(), "s".to_string()]));
     assert_eq!((table().host_homes("two.example"), table().host_homes("none")), (None, None));
-    assert_eq!(Table::unknown().host_homes("two.example"), Some(Vec::new()));
+    assert_eq!(Table::empty().host_homes("two.example"), Some(Vec::new()));
 }
 
 #[test]
 fn homes_of_route_and_tenant_both_bind_and_the_tenants_rank_goes_first() {
     let table = table();
     let route = |path| match table.find("one.example", path) {
-        Found::Route(route) => route,
+        RouteMatch::Route(route) => route,
         found => panic!("{found:?}"),
     };
     let (root, deep) = (route("/"), route("/x/y/"));
     let homes = |route: &Route, key| {
-        let tenant = table.holder(key).map(|tenant| &**tenant);
+        let tenant = table.tenant_by_key(key).map(|tenant| &**tenant);
         table.homes(route, tenant).map(|homes| homes.join(" "))
     };
     assert_eq!(homes(&deep, "k2").as_deref(), Some("r"));
@@ -95,6 +95,6 @@
     assert_eq!(homes(&deep, "k4").as_deref(), Some("r s"));
     assert_eq!(homes(&root, "k1").as_deref(), Some("q r"));
     assert_eq!(homes(&root, "none").as_deref(), Some(""));
-    let rank = |key| priority(&root, table.holder(key).map(|tenant| &**tenant));
+    let rank = |key| priority(&root, table.tenant_by_key(key).map(|tenant| &**tenant));
     assert_eq!((rank("k1"), rank("k3"), rank("none")), (1, 4, 4));
 }
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -7,7 +7,7 @@
 use nickeljunction_messages::{Caller, GatewayLine, WatchAnswer, WatchCall};
 use nickeljunction_pacing::Throttle;
 use nickeljunction_quota::{Allowance, Spend};
-use nickeljunction_registry::{Copy, Leave, Refused};
+use nickeljunction_registry::{ApplyError, SendLimit, WatchCache};
 use nickeljunction_replica::limits;
 use nickeljunction_schema::Bounds;
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
     /// Its process's number.
     pub life: u64,
     /// What the leader told.
-    pub copy: Copy,
+    pub copy: WatchCache,
     /// For how long it may go by that.
     pub lease: Lease,
     /// Its units.
@@ -88,7 +88,7 @@
             node,
             up: true,
             life,
-            copy: Copy::new(),
+            copy: WatchCache::new(),
             lease: Lease::new(strict, Bounds::usual().revoke_timeout_s * 1_000.0),
             allowance: Allowance::new(now, format!("g{node}"), life, tuning),
             // Answers to the life before are not taken for its own.
@@ -150,7 +150,7 @@
         let zone = if self.node.is_multiple_of(2) { "z1" } else { "z2" };
         let front = format!("10.1.0.{}:80", self.node);
         let line = GatewayLine { name: name.clone(), front, zone: zone.into(), ready: self.ready(now) };
-        let ask = self.copy.ask(Caller::Gateway, &name, self.life, Some(line), call.hold_ms);
+        let ask = self.copy.watch_call(Caller::Gateway, &name, self.life, Some(line), call.hold_ms);
         let id = call.id;
         let mut watching = Watching { call, to, sent: now, unsent: None };
         match self.idle.get_mut(&to).filter(|idle| **idle > 0) {
@@ -205,16 +205,18 @@
         let applied = match self.copy.apply(answer) {
             Ok(applied) => applied,
             // The next call is answered by a difference to what is held by now, or by the whole.
-            Err(Refused::Seq(..) | Refused::Base(..) | Refused::Digest(..)) => return Ended::Overtaken,
+            Err(ApplyError::StaleSeq(..) | ApplyError::BaseMismatch(..) | ApplyError::DigestMismatch(..)) => {
+                return Ended::Overtaken
+            }
             Err(_) => return Ended::Failed,
         };
         self.lease.answered(sent as f64, age);
         let catalog = self.copy.catalog();
-        if applied.leader {
+        if applied.new_leader {
             self.allowance.moved(now, self.copy.term());
         }
         if applied.gateways {
-            self.allowance.fleet(catalog.gateways);
+            self.allowance.fleet(catalog.gateway_count);
         }
         if let Some(config) = catalog.config.as_ref().filter(|_| applied.config) {
             self.allowance.known(now, &limits(&config.doc, &Bounds::usual()));
@@ -226,7 +228,7 @@
             out.facts.push(Fact::Tide { life: self.life, tenant, step, stage, holds: now + line.in_ms });
         }
         if applied.core {
-            self.watcher.known(&catalog.core);
+            self.watcher.known(&catalog.core_hosts);
         }
         if !ready && self.ready(now) {
             self.watcher.recall();
@@ -333,8 +335,8 @@
         let open: Vec<_> = catalog
             .servers
             .values()
-            .filter(|line| !catalog.evacuated.contains(&line.zone))
-            .filter(|line| Leave::of(line, &name, known_ms) != Leave::Nothing)
+            .filter(|line| !catalog.evacuated_zones.contains(&line.zone))
+            .filter(|line| SendLimit::of(line, &name, known_ms) != SendLimit::Blocked)
             .collect();
         self.next_server += 1;
         if let Some(line) = open.get(self.next_server % open.len().max(1)) {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -23,7 +23,7 @@
 
 use nickeljunction_consensus::Envelope;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, UnitsAnswer, UnitsCall, WatchAnswer, WatchCall};
-use nickeljunction_registry::Beat;
+use nickeljunction_registry::Heartbeat;
 use nickeljunction_replica::Wish;
 
 /// A machine's place in the world: core members first, then gateways, then the one of operators and servers.
@@ -68,7 +68,7 @@
     /// An operator has a tenant's trial lapse, or else restores it; asked at this time.
     Trial(String, bool, u64),
     /// A server says that it lives.
-    Beat(String, Beat),
+    Beat(String, Heartbeat),
     /// A server says that it is gone.
     Leave(String),
     /// The caller of this number hangs up.
--- a/crates/simulation/src/member.rs
+++ b/crates/simulation/src/member.rs
@@ -3,7 +3,7 @@
 use crate::{host, node_of, Answer, Fact, Node, Out, Packet, Question};
 use nickeljunction_consensus::{Consensus, Restored, Tuning, Write};
 use nickeljunction_messages::{Elsewhere, WatchCall};
-use nickeljunction_registry::Copy;
+use nickeljunction_registry::WatchCache;
 use nickeljunction_replica::state::ReplicatedState;
 use nickeljunction_replica::{
     self as replica, follow, Change, Claimed, CoreView, Effects, Event, Held, Lent, Place, Replica, Round,
@@ -61,7 +61,7 @@
     /// A write takes 1 to so many ms.
     pub disk_ms: u64,
     /// What it noted down of servers and gateways, and when: outlives the process, but not the loss of power.
-    pub hint: Option<(u64, Copy)>,
+    pub hint: Option<(u64, WatchCache)>,
     house: Option<Replica>,
     rng: fastrand::Rng,
     /// Calls that wait for the agreement.
@@ -115,7 +115,7 @@
         };
         let seed = self.rng.u64(..);
         let mut house = Replica::new(Rc::new(place), restored, self.tuning, seed, now);
-        let fresh = |(at, _): &(u64, Copy)| now - at <= replica::HINT_GOOD_MS;
+        let fresh = |(at, _): &(u64, WatchCache)| now - at <= replica::HINT_GOOD_MS;
         if let Some((_, copy)) = self.hint.take().filter(fresh) {
             house.remember(copy);
         }
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::{node_of, Answer, Node, Out, Packet, Question};
 use nickeljunction_history::{self as history, Call, Exchange, Kind, Status};
 use nickeljunction_messages::ServerState;
-use nickeljunction_registry::Beat;
+use nickeljunction_registry::Heartbeat;
 use std::collections::HashMap;
 
 /// A call without an answer is repeated elsewhere after so long, ms, and one sent on or without a clear answer after that.
@@ -52,7 +52,7 @@
     /// It calls.
     pub up: bool,
     /// What it says.
-    pub beat: Beat,
+    pub beat: Heartbeat,
     /// It says that it is gone, until that is acknowledged.
     pub ended: bool,
     /// A call of its present state was acknowledged at this time.
@@ -146,7 +146,7 @@
 
     /// A server comes up.
     pub(crate) fn server(&mut self, now: u64, id: &str, address: &str, backend: &str, zone: &str) -> usize {
-        let beat = Beat {
+        let beat = Heartbeat {
             address: address.into(),
             backend: backend.into(),
             version: "v1".into(),
--- a/crates/simulation/tests/cases.rs
+++ b/crates/simulation/tests/cases.rs
@@ -377,7 +377,7 @@
         world.run(1_000);
         world.heal();
         world.converge(5_000);
-        assert!(world.gateways.iter().all(|gateway| gateway.copy.catalog().evacuated.contains("z2")));
+        assert!(world.gateways.iter().all(|gateway| gateway.copy.catalog().evacuated_zones.contains("z2")));
         assert!(world.until(5_000, |world| world.people.orders[order].done()));
     });
 }
--- a/crates/simulation/tests/cut_off.rs
+++ b/crates/simulation/tests/cut_off.rs
@@ -7,7 +7,7 @@
 //! can't change any of it.
 
 use nickeljunction_messages::{ServerState, UnitsCall};
-use nickeljunction_registry::{Beat, Copy};
+use nickeljunction_registry::{Heartbeat, WatchCache};
 use nickeljunction_replica::Wish;
 use nickeljunction_simulation::{host, Answer, Plan, Question, World, TENANT};
 
@@ -80,8 +80,8 @@
     }
 }
 
-fn beat(state: ServerState, call_seq: u64) -> Beat {
-    Beat {
+fn beat(state: ServerState, call_seq: u64) -> Heartbeat {
+    Heartbeat {
         address: "10.2.9.9:80".into(),
         backend: "b".into(),
         version: "v1".into(),
@@ -109,9 +109,13 @@
         8 => Question::Beat(format!("gone{number}"), beat(ServerState::Draining, number)),
         9 => Question::Leave("left".into()),
         10 => Question::Units(UnitsCall { life: 7 + number, seq: 1, ..UnitsCall::default() }),
-        _ => {
-            Question::Watch(Copy::new().ask(nickeljunction_messages::Caller::Gateway, "onlooker", 9, None, 0))
-        }
+        _ => Question::Watch(WatchCache::new().watch_call(
+            nickeljunction_messages::Caller::Gateway,
+            "onlooker",
+            9,
+            None,
+            0,
+        )),
     }
 }
 
