--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -14,18 +14,18 @@
 //! 100 to 500 ms. After any call check the held watch calls again if [`Register::seq`] rose.
 
 mod catalog;
-mod changes;
+mod config_history;
 mod directory;
 mod gateways;
 mod register;
 mod roster;
+mod server_counts;
 mod servers;
-mod tally;
 
 pub use catalog::{send_block, ApplyError, Catalog, CatalogUpdate, SendBlock, SendLimit, WatchCache};
-pub use changes::ConfigHistory;
+pub use config_history::ConfigHistory;
 pub use directory::{nearby_gateways, Client, MAX_ADDRESSES};
 pub use gateways::{CallOutcome, GatewayStatus};
 pub use register::{Propagation, Register, TrialState, Tuning, PERMIT_LIFE_MS};
+pub use server_counts::{count_servers, state_name, ServerCounts};
 pub use servers::{Heartbeat, HeartbeatKind, HeartbeatOutcome, ServerStatus};
-pub use tally::{count_servers, state_name, ServerCounts};
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -1,10 +1,10 @@
 //! The leader's registers as one: what comes in, what is new for whom.
 
 use crate::catalog::WatchCache;
-use crate::changes::ConfigHistory;
+use crate::config_history::ConfigHistory;
 use crate::gateways::{CallOutcome, GatewayStatus, Gateways};
+use crate::server_counts::{count_servers, ServerCounts};
 use crate::servers::{Heartbeat, HeartbeatKind, HeartbeatOutcome, ServerStatus, Servers};
-use crate::tally::{count_servers, ServerCounts};
 use nickeljunction_messages::{
     Caller, ConfigChange, ConfigLine, GatewayLine, ServerState, TrialLine, WatchAnswer, WatchCall,
 };
