--- a/crates/controller/src/driver/metrics.rs
+++ b/crates/controller/src/driver/metrics.rs
@@ -209,7 +209,7 @@
                 page.value(&[("gateway", &standing.line.name)], version as f64);
             }
         }
-        let units = house.leads().map(|(_, counter)| counter.standings(now)).unwrap_or_default();
+        let units = house.leads().map(|(_, counter)| counter.usage_by_tenant(now)).unwrap_or_default();
         let units: Vec<_> = units.iter().take(MOST_LABELLED).collect();
         page.figure("controller_units_cap", Kind::Gauge, "Units of a tenant in all.");
         for (tenant, of) in &units {
@@ -225,7 +225,7 @@
             "Units that gateways which are gone, or have not told yet, may have spent.",
         );
         for (tenant, of) in &units {
-            page.value(&[("tenant", tenant)], (of.ended + of.unheard) as f64);
+            page.value(&[("tenant", tenant)], (of.held_for_ended + of.held_for_unreported) as f64);
         }
     }
 }
--- a/crates/controller/src/resources/status.rs
+++ b/crates/controller/src/resources/status.rs
@@ -3,7 +3,7 @@
 use super::json;
 use crate::driver::Driver;
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
-use nickeljunction_quota::{Counter, TenantStanding};
+use nickeljunction_quota::{Counter, TenantUsage};
 use nickeljunction_registry::{state, GatewayStanding, Register, ServerStanding};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 pub(crate) fn add_lead(shown: &mut Value, register: &Register, counter: &Counter, now: u64) {
     shown["gateways"] = register.gateway_standings(now).iter().map(gateway).collect();
     shown["lives"] = register.server_standings(now).iter().map(life).collect();
-    shown["units"] = units(&counter.standings(now));
+    shown["units"] = units(&counter.usage_by_tenant(now));
     shown["gathering"] = register.gathering().into();
     shown["config_age_ms"] = register.config_age(now).into();
 }
@@ -48,10 +48,10 @@
 }
 
 /// Units by tenant: `ended` and `unheard` are held back for lives that are over or have not told yet.
-fn units(standings: &BTreeMap<String, TenantStanding>) -> Value {
-    let one = |standing: &TenantStanding| {
-        json!({"cap": standing.cap, "lent": standing.lent, "ended": standing.ended,
-            "unheard": standing.unheard, "used": standing.used(), "held_ms": standing.held_ms})
+fn units(standings: &BTreeMap<String, TenantUsage>) -> Value {
+    let one = |standing: &TenantUsage| {
+        json!({"cap": standing.cap, "lent": standing.lent, "ended": standing.held_for_ended,
+            "unheard": standing.held_for_unreported, "used": standing.used(), "held_ms": standing.held_back_ms})
     };
     standings.iter().map(|(tenant, standing)| (tenant.clone(), one(standing))).collect()
 }
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -224,7 +224,7 @@
             term: copy.term(),
             leader: self.watcher.borrow().leader().map(str::to_string),
             age_ms: self.lease.borrow().age(now),
-            units: self.allowance.borrow_mut().told(now as u64, MOST_LABELLED),
+            units: self.allowance.borrow_mut().holdings(now as u64, MOST_LABELLED),
         }
     }
 
@@ -349,7 +349,7 @@
         let catalog = self.copy.borrow().catalog();
         if applied.leader {
             log::info!("event=leader peer={from} term={}", self.copy.borrow().term());
-            self.allowance.borrow_mut().moved(now as u64, self.copy.borrow().term());
+            self.allowance.borrow_mut().leader_changed(now as u64, self.copy.borrow().term());
             self.add_due.ring();
         }
         if applied.config {
@@ -372,7 +372,7 @@
         }
         if applied.gateways {
             self.proxy.fleet(catalog.gateways);
-            self.allowance.borrow_mut().fleet(catalog.gateways);
+            self.allowance.borrow_mut().set_gateway_count(catalog.gateways);
         }
         if applied.core {
             self.watcher.borrow_mut().known(&catalog.core);
@@ -409,9 +409,9 @@
         let limits = config.tenants.iter().filter_map(|(name, tenant)| {
             let (rate, burst) = tenant.quota()?;
             let (window, overrun, slack) = (bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack);
-            Some((name.clone(), Limit::with_margin(rate, burst, window, overrun, slack)?))
+            Some((name.clone(), Limit::with_default_margin(rate, burst, window, overrun, slack)?))
         });
-        self.allowance.borrow_mut().known(self.wheel.now() as u64, &limits.collect());
+        self.allowance.borrow_mut().set_limits(self.wheel.now() as u64, &limits.collect());
         self.ebb.configured(config);
         self.add_due.ring();
         log::info!("event=config version={} routes={}", config.config_version, config.routes.len());
@@ -503,7 +503,7 @@
 
     /// Gives all units back before the end; what is lost on the way lapses by itself.
     pub async fn give_back(&self) {
-        let call = self.allowance.borrow_mut().give_back(self.wheel.now() as u64);
+        let call = self.allowance.borrow_mut().return_all(self.wheel.now() as u64);
         self.add(&call).await;
     }
 }
@@ -518,7 +518,7 @@
                 tokio::pin!(answered);
                 answered.as_mut().enable();
                 let now = self.wheel.now();
-                let asks = self.allowance.borrow().asks(tenant, began as u64);
+                let asks = self.allowance.borrow().is_fetching(tenant, began as u64);
                 let until = if asks { until + ANSWER_DUE_MS } else { until };
                 let spend = {
                     let mut allowance = self.allowance.borrow_mut();
@@ -550,7 +550,7 @@
     }
 
     fn also(&self, tenant: &str) -> bool {
-        self.allowance.borrow_mut().also(self.wheel.now() as u64, tenant)
+        self.allowance.borrow_mut().spend_for_retry(self.wheel.now() as u64, tenant)
     }
 
     fn stale(&self) -> Option<f64> {
--- a/crates/edge/tests/units.rs
+++ b/crates/edge/tests/units.rs
@@ -51,11 +51,11 @@
             let call: UnitsCall = serde_json::from_slice(&call.body).expect("a call");
             let answer = {
                 let (now, mut counter) = (self.wheel.now() as u64, self.counter.borrow_mut());
-                if let Some(roll) = counter.before(now, &call) {
-                    counter.logged(&roll.come);
-                    counter.came(call.life);
+                if let Some(roll) = counter.enrollment_for(now, &call) {
+                    counter.set_logged_processes(&roll.added);
+                    counter.enrollment_committed(call.life);
                 }
-                counter.call(now, &call, GATEWAYS as usize)
+                counter.handle_call(now, &call, GATEWAYS as usize)
             };
             self.wheel.sleep(self.way_ms.get()).await;
             Response::json(200, serde_json::to_string(&answer).expect("text"))
@@ -68,7 +68,7 @@
 async fn second(way_ms: f64) -> (Admitted, f64) {
     let wheel = wheel();
     let mut counter = Counter::new(wheel.now() as u64, 1, Tuning::new(5_000), BTreeMap::new());
-    counter.limits(wheel.now() as u64, &BTreeMap::from([("t".into(), Limit { cap: 50, pace: 50 })]));
+    counter.set_limits(wheel.now() as u64, &BTreeMap::from([("t".into(), Limit { cap: 50, pace: 50 })]));
     let watch = Rc::new(Watch { wheel: wheel.clone(), asked: Cell::new(false) });
     let far = Rc::new(Far { wheel: wheel.clone(), counter: RefCell::new(counter), way_ms: Cell::new(1.0) });
     let port = serve(&wheel, &[(path::WATCH, watch), (path::UNITS, far.clone())]).await;
--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -117,7 +117,7 @@
             loan: 0,
             lift: 0,
             lift_until: 0,
-            spent: Ring::new(tuning.slot_ms, tuning.window_ms + tuning.write_ms),
+            spent: Ring::new(tuning.slot_ms, tuning.window_ms + tuning.max_write_delay_ms),
             tokens: 0.0,
             tokens_at: now,
             least: Peak::default(),
@@ -243,7 +243,7 @@
         let held = self.held();
         if self.on_demand {
             // What just came is for a request that waits. While the bucket isn't full the next ones need the pace.
-            let settled = self.waiting == 0 && now >= self.last_grant + tuning.fetch_ms;
+            let settled = self.waiting == 0 && now >= self.last_grant + tuning.fetch_interval_ms;
             return settled && held > self.target() && self.tokens >= tuning.depth_of(self.cap()) as f64;
         }
         let quarter = tuning.window_ms / 4;
@@ -274,7 +274,7 @@
     tuning: Tuning,
     started: u64,
     batches: BTreeMap<String, Batch>,
-    /// See [`Allowance::fleet`].
+    /// See [`Allowance::set_gateway_count`].
     gateways: u32,
     seq: u64,
     /// The call under way.
@@ -314,7 +314,7 @@
 
     /// Tenants with a limit, by the newest configuration. Loans beyond a lowered limit are cut here, in proportion, so that
     /// all loans together are within the new one; of a tenant whose limit is gone, all.
-    pub fn known(&mut self, now: u64, limits: &BTreeMap<String, Limit>) {
+    pub fn set_limits(&mut self, now: u64, limits: &BTreeMap<String, Limit>) {
         self.expire_loans(now);
         let tuning = &self.tuning;
         for (tenant, batch) in &mut self.batches {
@@ -352,7 +352,7 @@
     }
 
     /// How many gateways there are, as far as is known: what each may hold in reserve depends on it.
-    pub fn fleet(&mut self, gateways: u32) {
+    pub fn set_gateway_count(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
         self.share_out();
     }
@@ -367,7 +367,7 @@
 
     /// Another core member is the leader, or may be, in `term`: the next call is due at once and reports every loan. A
     /// call under way counts as failed.
-    pub fn moved(&mut self, now: u64, term: u64) {
+    pub fn leader_changed(&mut self, now: u64, term: u64) {
         if self.open_call.is_some() {
             self.failed(now);
         }
@@ -412,12 +412,12 @@
         };
         batch.age(now, &self.tuning);
         let wait = batch.pace_wait_ms(now, &self.tuning);
-        if batch.held() > 0 && wait <= self.tuning.hold_ms && now + wait < valid {
+        if batch.held() > 0 && wait <= self.tuning.max_pace_delay_ms && now + wait < valid {
             let from = now + wait;
             batch.tokens -= 1.0;
             batch.spent.book(from, 1);
             batch.last_spend = Some(from);
-            let until = valid.min(from + self.tuning.write_ms);
+            let until = valid.min(from + self.tuning.max_write_delay_ms);
             return Spend::Done { from, until };
         }
         // Where units are held, only the pace is in the way.
@@ -454,7 +454,7 @@
 
     /// Spends a unit for a further try of a request, right now. False: there is none, and it must not be sent; nothing is
     /// fetched for it either.
-    pub fn also(&mut self, now: u64, tenant: &str) -> bool {
+    pub fn spend_for_retry(&mut self, now: u64, tenant: &str) -> bool {
         self.expire_loans(now);
         let valid = now < self.valid_until;
         let Some(batch) = self.batches.get_mut(tenant).filter(|batch| batch.limit.is_some()) else {
@@ -481,7 +481,7 @@
             0 => batch.spent.next_free().unwrap_or(u64::MAX),
             _ => now.saturating_add(batch.pace_wait_ms(now, &self.tuning)),
         };
-        let soon = if batch.has_first_units { self.tuning.fetch_ms } else { FIRST_RETRY_MS };
+        let soon = if batch.has_first_units { self.tuning.fetch_interval_ms } else { FIRST_RETRY_MS };
         let others = batch.empty_until.max(silent).max(now + soon);
         let free = others.min(own.max(now + 1));
         Spend::Refused { retry_after_ms: (free - now).clamp(1, RETRY_MOST_MS) }
@@ -493,41 +493,41 @@
             return if self.batches.is_empty() { u64::MAX } else { self.started };
         };
         let tuning = &self.tuning;
-        let urgent_ms = tuning.spacing_ms(u64::from(self.gateways));
-        let fetch_ms = tuning.fetch_ms.max(urgent_ms);
+        let urgent_fetch_interval_ms = tuning.spacing_ms(u64::from(self.gateways));
+        let fetch_interval_ms = tuning.fetch_interval_ms.max(urgent_fetch_interval_ms);
         let mut due = u64::MAX;
         for batch in self.batches.values() {
             if batch.limit.is_none() {
                 // Units dropped with a limit: the counter may still count them.
                 if batch.counter_loan.is_none_or(|told| told > 0) {
-                    due = due.min(last + tuning.report_ms);
+                    due = due.min(last + tuning.return_interval_ms);
                 }
                 continue;
             }
-            due = due.min(last + tuning.refresh_ms);
+            due = due.min(last + tuning.refresh_interval_ms);
             if batch.counter_loan.is_none_or(|told| told > batch.in_force())
-                || batch.idle(last + tuning.report_ms, tuning)
+                || batch.idle(last + tuning.return_interval_ms, tuning)
             {
-                due = due.min(last + tuning.report_ms);
+                due = due.min(last + tuning.return_interval_ms);
             }
             if batch.waiting > 0 && batch.held() >= batch.waiting {
-                due = due.min(last + urgent_ms);
+                due = due.min(last + urgent_fetch_interval_ms);
             } else if batch.remaining == 0 && batch.empty_until > 0 {
                 if batch.low() {
-                    due = due.min(batch.empty_until.max(last + urgent_ms));
+                    due = due.min(batch.empty_until.max(last + urgent_fetch_interval_ms));
                 }
             } else if batch.waiting > 0 {
                 let paced_out = batch.room == 0 && batch.has_first_units;
-                due = due.min(last + if paced_out { fetch_ms } else { urgent_ms });
+                due = due.min(last + if paced_out { fetch_interval_ms } else { urgent_fetch_interval_ms });
             } else if !batch.has_first_units && batch.target() > 0 {
-                due = due.min(last + fetch_ms);
+                due = due.min(last + fetch_interval_ms);
             } else if batch.low() {
                 let calm = batch.held() > 0 && batch.remaining * 8 >= batch.cap();
-                due = due.min(last + if calm { tuning.report_ms / 2 } else { fetch_ms });
+                due = due.min(last + if calm { tuning.return_interval_ms / 2 } else { fetch_interval_ms });
             }
         }
         if self.report_all && due != u64::MAX {
-            due = due.min(last + tuning.urgent_ms);
+            due = due.min(last + tuning.urgent_fetch_interval_ms);
         }
         due.max(self.no_call_until.unwrap_or(0))
     }
@@ -550,7 +550,7 @@
     }
 
     /// Returns all units at shutdown, in a last call whose answer is not needed. Nothing is spent after it.
-    pub fn give_back(&mut self, now: u64) -> UnitsCall {
+    pub fn return_all(&mut self, now: u64) -> UnitsCall {
         self.valid_until = 0;
         self.expire_loans(now);
         for batch in self.batches.values_mut() {
@@ -632,7 +632,7 @@
     /// The counter's answer. Only that to the newest call counts, and only while no newer counter has been heard of.
     pub fn answered(&mut self, now: u64, answer: &UnitsAnswer) {
         let Some(OpenCall { seq, sent }) = self.open_call else { return };
-        if answer.seq != seq && self.tuning.keeps(Guard::Newest) {
+        if answer.seq != seq && self.tuning.keeps(Guard::NewestAnswer) {
             return;
         }
         if answer.term < self.term {
@@ -652,7 +652,7 @@
         }
         self.report_all = false;
         self.expire_loans(now);
-        self.valid_until = self.valid_until.max(sent + self.tuning.life_ms);
+        self.valid_until = self.valid_until.max(sent + self.tuning.lease_ms);
         let valid = now < self.valid_until;
         for (tenant, batch) in &mut self.batches {
             if let Some(loan) = batch.call_loan.take() {
@@ -686,26 +686,31 @@
             }
         }
         if grant.lift > 0 && valid {
-            (batch.lift, batch.lift_until) = (grant.lift, sent + tuning.lift_ms);
+            (batch.lift, batch.lift_until) = (grant.lift, sent + tuning.pace_floor_ms);
             batch.note_pace(now, tuning);
         }
-        if grant.boost > 0 && valid && now <= sent + tuning.answer_ms {
+        if grant.boost > 0 && valid && now <= sent + tuning.max_boost_answer_ms {
             let depth = tuning.depth_of(batch.cap()) as f64;
             batch.tokens = (batch.tokens + grant.boost as f64).min(depth);
             batch.boosts.book(now, grant.boost);
         }
         if batch.boost_asked {
-            batch.paced_until = if grant.boost > 0 { 0 } else { now + tuning.hungry_ms };
+            batch.paced_until = if grant.boost > 0 { 0 } else { now + tuning.exhausted_fetch_interval_ms };
         }
         batch.empty_until = 0;
         if batch.on_demand {
             // What others give back is free at once.
             if grant.granted == 0 && grant.remaining == 0 && waited {
-                batch.empty_until = now + tuning.hungry_ms;
+                batch.empty_until = now + tuning.exhausted_fetch_interval_ms;
             }
         } else if grant.remaining == 0 {
             // The first units of a new life come as those of its predecessors go.
-            batch.empty_until = now + if batch.has_first_units { tuning.hungry_ms } else { tuning.fetch_ms };
+            batch.empty_until = now
+                + if batch.has_first_units {
+                    tuning.exhausted_fetch_interval_ms
+                } else {
+                    tuning.fetch_interval_ms
+                };
             // A request that is refused keeps the demand known for those that follow.
             batch.refused = u64::from(grant.granted == 0 && waited && batch.held() == 0);
         }
@@ -727,13 +732,13 @@
     }
 
     /// The call under way was sent at `since` or later and names this tenant: an answer may be about to come.
-    pub fn asks(&self, tenant: &str, since: u64) -> bool {
+    pub fn is_fetching(&self, tenant: &str, since: u64) -> bool {
         let named = self.batches.get(tenant).is_some_and(|batch| batch.call_loan.is_some());
         named && self.open_call.is_some_and(|call| call.sent >= since)
     }
 
     /// What is held and spent here, of each tenant with a limit, by name, of the first `most`.
-    pub fn told(&mut self, now: u64, most: usize) -> Vec<Holding> {
+    pub fn holdings(&mut self, now: u64, most: usize) -> Vec<Holding> {
         let (valid, tuning) = (now < self.valid_until, &self.tuning);
         let holding = |(tenant, batch): (&String, &mut Batch)| {
             batch.age(now, tuning);
--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -14,32 +14,32 @@
 
 /// A change of the list of gateway processes (lives) in the replicated log: those that a counter may lend to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Roll {
+pub struct ProcessListChange {
     /// Lives to be added, with the names of their machines.
-    pub come: BTreeMap<u64, String>,
+    pub added: BTreeMap<u64, String>,
     /// Lives to be removed: nothing of theirs is in force any more.
-    pub gone: Vec<u64>,
+    pub removed: Vec<u64>,
 }
 
 /// How a tenant's units stand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TenantStanding {
+pub struct TenantUsage {
     /// Most that may be spent in a window.
     pub cap: u64,
     /// Lent to gateways that live.
     pub lent: u64,
     /// Held back for lives that have ended.
-    pub ended: u64,
+    pub held_for_ended: u64,
     /// Held back for lives that an older counter may have lent to and that have not told.
-    pub unheard: u64,
+    pub held_for_unreported: u64,
     /// The first of what is held back is so since then, ms ago; `None`: nothing is.
-    pub held_ms: Option<u64>,
+    pub held_back_ms: Option<u64>,
 }
 
-impl TenantStanding {
+impl TenantUsage {
     /// Units in force: lent or held back.
     pub fn used(&self) -> u64 {
-        self.lent + self.ended + self.unheard
+        self.lent + self.held_for_ended + self.held_for_unreported
     }
 }
 
@@ -179,10 +179,10 @@
 
 impl Counter {
     /// The counter of a leader from `now` on, in `term`. `logged`: the lives in the replicated log, which is up to date;
-    /// others have no unit. It lends nothing before [`Counter::limits`].
+    /// others have no unit. It lends nothing before [`Counter::set_limits`].
     pub fn new(now: u64, term: u64, tuning: Tuning, logged: BTreeMap<u64, String>) -> Counter {
         let takeover = Takeover::new(now, &tuning, logged.clone());
-        let boosts_from = if logged.is_empty() { now } else { now + tuning.answer_ms };
+        let boosts_from = if logged.is_empty() { now } else { now + tuning.max_boost_answer_ms };
         Counter {
             term,
             tuning,
@@ -200,16 +200,16 @@
 
     /// For so long after its start, ms, it holds units back for lives of which an older counter knew, should none of them
     /// tell what it has; 0 without any.
-    pub fn held_ms(&self) -> u64 {
+    pub fn takeover_ms(&self) -> u64 {
         if self.logged.is_empty() {
             0
         } else {
-            self.tuning.life_ms + self.tuning.span_ms()
+            self.tuning.lease_ms + self.tuning.span_ms()
         }
     }
 
     /// Tenants with a limit, by the newest configuration. A tenant whose limit goes is forgotten.
-    pub fn limits(&mut self, now: u64, limits: &BTreeMap<String, Limit>) {
+    pub fn set_limits(&mut self, now: u64, limits: &BTreeMap<String, Limit>) {
         self.tick(now);
         self.books.retain(|tenant, _| limits.contains_key(tenant));
         for life in self.lives.values_mut() {
@@ -237,7 +237,7 @@
     }
 
     /// The lives in the replicated log, whenever they changed.
-    pub fn logged(&mut self, lives: &BTreeMap<u64, String>) {
+    pub fn set_logged_processes(&mut self, lives: &BTreeMap<u64, String>) {
         self.logged.clone_from(lives);
         self.logged_machines = machines_of(lives);
         self.leaving.retain(|life| lives.contains_key(life));
@@ -245,12 +245,12 @@
 
     /// Ages the books; also done by every other call. Once a second keeps memory small.
     pub fn tick(&mut self, now: u64) {
-        let life_ms = self.tuning.life_ms;
-        let silent = |life: &&Life| life.heard + life_ms <= now;
+        let lease_ms = self.tuning.lease_ms;
+        let silent = |life: &&Life| life.heard + lease_ms <= now;
         let over: Vec<u64> =
             self.lives.iter().filter(|(_, life)| silent(life)).map(|(number, _)| *number).collect();
         for number in over {
-            let ended = self.lives[&number].heard + life_ms;
+            let ended = self.lives[&number].heard + lease_ms;
             self.end(number, ended);
         }
         let span_ms = self.tuning.span_ms();
@@ -283,26 +283,29 @@
         self.logged.contains_key(&life) && !self.leaving.contains(&life)
     }
 
-    /// What must be committed to the replicated log before [`Counter::call`] lends to this life. Once it is:
-    /// [`Counter::logged`], and then [`Counter::came`].
-    pub fn before(&mut self, now: u64, call: &UnitsCall) -> Option<Roll> {
+    /// What must be committed to the replicated log before [`Counter::handle_call`] lends to this life. Once it is:
+    /// [`Counter::set_logged_processes`], and then [`Counter::enrollment_committed`].
+    pub fn enrollment_for(&mut self, now: u64, call: &UnitsCall) -> Option<ProcessListChange> {
         if !call.all || call.end || call.to != self.term || self.is_logged(call.life) {
             return None;
         }
         self.coming.insert(call.life, now);
-        Some(Roll { come: BTreeMap::from([(call.life, call.name.clone())]), gone: Vec::new() })
+        Some(ProcessListChange {
+            added: BTreeMap::from([(call.life, call.name.clone())]),
+            removed: Vec::new(),
+        })
     }
 
-    /// A life that [`Counter::before`] named is committed, after all that was proposed before.
-    pub fn came(&mut self, life: u64) {
+    /// A life that [`Counter::enrollment_for`] named is committed, after all that was proposed before.
+    pub fn enrollment_committed(&mut self, life: u64) {
         self.leaving.remove(&life);
     }
 
     /// Lives that may be removed from the log: call once in a while, and append the result.
-    pub fn after(&mut self, now: u64) -> Option<Roll> {
+    pub fn removable_processes(&mut self, now: u64) -> Option<ProcessListChange> {
         self.tick(now);
         let rest: BTreeSet<u64> = self.takeover.iter().flat_map(Takeover::unreported).collect();
-        self.coming.retain(|_, since| *since + self.tuning.life_ms > now);
+        self.coming.retain(|_, since| *since + self.tuning.lease_ms > now);
         let known = |life: &u64| {
             self.lives.contains_key(life)
                 || self.ended.contains_key(life)
@@ -311,7 +314,7 @@
         };
         let gone: Vec<u64> = self.logged.keys().filter(|life| !known(life)).copied().collect();
         self.leaving.extend(&gone);
-        (!gone.is_empty()).then(|| Roll { come: BTreeMap::new(), gone })
+        (!gone.is_empty()).then(|| ProcessListChange { added: BTreeMap::new(), removed: gone })
     }
 
     /// Units of a tenant in force: lent, or held back for lives that are dead or not heard of.
@@ -325,25 +328,31 @@
     }
 
     /// How each tenant's units stand, for operators; of books that were aged lately.
-    pub fn standings(&self, now: u64) -> BTreeMap<String, TenantStanding> {
+    pub fn usage_by_tenant(&self, now: u64) -> BTreeMap<String, TenantUsage> {
         let books = self.books.iter();
         books.map(|(tenant, book)| (tenant.clone(), self.standing(now, tenant, book))).collect()
     }
 
-    fn standing(&self, now: u64, tenant: &str, book: &Book) -> TenantStanding {
+    fn standing(&self, now: u64, tenant: &str, book: &Book) -> TenantUsage {
         let (cap, tuning) = (book.limit.cap, &self.tuning);
         let units_of = |held: &HeldBack| {
             let paced = tuning.in_force(cap, 1, held.pace, now.saturating_sub(held.ended));
             held.units.min(paced + held.boosts)
         };
-        let held_back = book.held_back.iter().filter(|_| tuning.keeps(Guard::Lock));
+        let held_back = book.held_back.iter().filter(|_| tuning.keeps(Guard::EndedProcesses));
         let ended = held_back.map(units_of).sum();
-        let rest = self.takeover.as_ref().filter(|_| tuning.keeps(Guard::Rest));
+        let rest = self.takeover.as_ref().filter(|_| tuning.keeps(Guard::UnreportedProcesses));
         let unheard = rest.map_or(0, |takeover| takeover.units(now, tenant, book.limit, tuning));
         let since = book.held_back.iter().filter(|held| units_of(held) > 0).map(|held| held.ended);
         let takeover = self.takeover.as_ref().filter(|_| unheard > 0).map(Takeover::started);
         let held_ms = since.chain(takeover).min().map(|since| now.saturating_sub(since));
-        TenantStanding { cap, lent: book.out, ended, unheard, held_ms }
+        TenantUsage {
+            cap,
+            lent: book.out,
+            held_for_ended: ended,
+            held_for_unreported: unheard,
+            held_back_ms: held_ms,
+        }
     }
 
     /// Sum of all paces at which may be spent now; `most` of them together.
@@ -370,13 +379,13 @@
     }
 
     /// A gateway's call. `gateways`: how many there are, by the register; divides the first allowance. What
-    /// [`Counter::before`] names must be on the log; a life that isn't gets nothing.
-    pub fn call(&mut self, now: u64, call: &UnitsCall, gateways: usize) -> UnitsAnswer {
+    /// [`Counter::enrollment_for`] names must be on the log; a life that isn't gets nothing.
+    pub fn handle_call(&mut self, now: u64, call: &UnitsCall, gateways: usize) -> UnitsAnswer {
         self.tick(now);
         let mut answer = UnitsAnswer { seq: call.seq, term: self.term, ..UnitsAnswer::default() };
         // Overtaken by a newer call, or duplicated: the newer call's figures stand, and nothing is lent twice.
         if self.lives.get(&call.life).is_some_and(|life| life.seq >= call.seq)
-            && self.tuning.keeps(Guard::Order)
+            && self.tuning.keeps(Guard::CallOrder)
         {
             return answer;
         }
@@ -385,7 +394,7 @@
             return answer;
         }
         // Told to another counter: more may have been lent since.
-        if call.all && call.to != self.term && self.tuning.keeps(Guard::Meant) {
+        if call.all && call.to != self.term && self.tuning.keeps(Guard::IntendedTerm) {
             answer.tell = true;
             return answer;
         }
@@ -469,7 +478,7 @@
                     let boosted = if call.tells_boosted { told.boosted } else { most };
                     lent.boosts.book(now, boosted.min(told.loan));
                     if told.pace > told.loan {
-                        (lent.lift, lent.lift_until) = (told.pace, now + self.tuning.lift_ms);
+                        (lent.lift, lent.lift_until) = (told.pace, now + self.tuning.pace_floor_ms);
                     }
                     if let Some(takeover) = self.takeover.as_mut().filter(|_| first) {
                         // What it spent before a limit was lowered is no part of what all may have under the new one.
@@ -530,11 +539,11 @@
         let lent = lent.or_insert_with(|| Lent::new(tuning));
         let before = lent.pace(now);
         let mut lift = 0;
-        let low = lent.loan < share && lent.lift_until < now + tuning.lift_ms / 2;
+        let low = lent.loan < share && lent.lift_until < now + tuning.pace_floor_ms / 2;
         if !on_demand && (first || (low && plenty)) {
             // Units may come slowly at first, or before a rise not at all: the pace doesn't wait for them.
             lift = share.min(before + pace_left);
-            (lent.lift, lent.lift_until) = (lift.max(before), now + tuning.lift_ms);
+            (lent.lift, lent.lift_until) = (lift.max(before), now + tuning.pace_floor_ms);
         }
         let class = Self::remaining_class(remaining.min(room), cap);
         // Not asked, and it knows of about as much: no word of it.
@@ -589,7 +598,7 @@
         let mut counter = Counter::new(0, 1, Tuning::new(1_000), log);
         // What a counter before may have lent is no part of either sum.
         counter.takeover = None;
-        counter.limits(0, &all(400));
+        counter.set_limits(0, &all(400));
         let (mut dice, mut now, mut lifted) = (fastrand::Rng::with_seed(7), 0, 0);
         for seq in 1..4_000 {
             // Long pauses end lives.
@@ -608,12 +617,14 @@
             let name = format!("g-{life}");
             let call =
                 UnitsCall { life, seq, all: all_told, name, to: 1, end, tenants, ..UnitsCall::default() };
-            let answer = counter.call(now, &call, 6);
+            let answer = counter.handle_call(now, &call, 6);
             lifted += answer.tenants.values().filter(|grant| grant.lift > 0).count();
             if seq % 500 == 0 {
-                counter
-                    .limits(now, &all(if seq % 1_000 == 0 { 400 } else { 0 }).into_iter().take(2).collect());
-                counter.limits(now, &all(400));
+                counter.set_limits(
+                    now,
+                    &all(if seq % 1_000 == 0 { 400 } else { 0 }).into_iter().take(2).collect(),
+                );
+                counter.set_limits(now, &all(400));
             }
             for (kept, anew) in sums(&mut counter, now) {
                 assert_eq!(kept, anew, "after call {seq}");
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -9,17 +9,17 @@
 //! Invariant: over any span of a window's length, units spent over all gateways are at most the tenant's cap.
 //! `docs/design/units.md` has the proof. It depends on the driver:
 //! - `now` is the monotonic clock of the own machine, ms.
-//! - [`Counter::call`] is called only while the member is certain to be the leader (a quorum has confirmed it since the
+//! - [`Counter::handle_call`] is called only while the member is certain to be the leader (a quorum has confirmed it since the
 //!   call arrived, or its lease is valid); a new leader's counter starts only after that has ended.
-//! - What [`Counter::before`] returns is committed to the replicated log before [`Counter::call`] is called, and
-//!   reported with [`Counter::logged`]; what [`Counter::after`] returns is appended there, too. A new counter starts
+//! - What [`Counter::enrollment_for`] returns is committed to the replicated log before [`Counter::handle_call`] is called, and
+//!   reported with [`Counter::set_logged_processes`]; what [`Counter::removable_processes`] returns is appended there, too. A new counter starts
 //!   from the list in its log.
 //! - A machine runs one gateway process at a time, and the calls of a killed one have arrived, or are lost, when the
 //!   first call of the next one arrives.
 //! - A request's first byte is written at `from` at the earliest, and not after `until`.
 //! - Every attempt that is written spends its own unit.
 //!
-//! The gateway's driver calls [`Allowance::known`] on each configuration, [`Allowance::moved`] when another member
+//! The gateway's driver calls [`Allowance::set_limits`] on each configuration, [`Allowance::leader_changed`] when another member
 //! becomes leader (the first one included), and [`Allowance::poll`] after each of its calls and at
 //! [`Allowance::next_wake`]. It sends what `poll` returns, and then calls either [`Allowance::answered`] or
 //! [`Allowance::failed`]. A request that got [`Spend::Wait`] spends again after the next `answered` or `failed`; after
@@ -35,7 +35,7 @@
 mod unused_pace;
 
 pub use allowance::{Allowance, Holding, Spend};
-pub use counter::{Counter, Roll, TenantStanding};
+pub use counter::{Counter, ProcessListChange, TenantUsage};
 #[cfg(feature = "mutants")]
 pub use tuning::Guard;
-pub use tuning::{Boost, Depth, Limit, Tuning};
+pub use tuning::{Boost, BucketDepth, Limit, Tuning};
--- a/crates/quota/src/takeover.rs
+++ b/crates/quota/src/takeover.rs
@@ -31,7 +31,7 @@
 impl Takeover {
     pub(crate) fn new(now: u64, tuning: &Tuning, logged: BTreeMap<u64, String>) -> Takeover {
         // An older counter answered its last call before now.
-        let ends = now + tuning.life_ms;
+        let ends = now + tuning.lease_ms;
         Takeover {
             started: now,
             unreported: logged,
@@ -65,7 +65,7 @@
         *first = started.min(*first);
         let end = |name: &String| self.started_of.get(name).copied().unwrap_or(u64::MAX);
         let last = self.unreported.values().map(end).max().unwrap_or(0);
-        self.ends = last.min(self.started + tuning.life_ms);
+        self.ends = last.min(self.started + tuning.lease_ms);
         was_unreported
     }
 
--- a/crates/quota/src/tuning.rs
+++ b/crates/quota/src/tuning.rs
@@ -18,36 +18,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Guard {
     /// The counter ignores calls that a newer one of the same life has overtaken.
-    Order,
+    CallOrder,
     /// The counter takes a life's word for all that it has only if that was meant for it.
-    Meant,
+    IntendedTerm,
     /// A gateway takes only the answer to its newest call.
-    Newest,
+    NewestAnswer,
     /// What a life that ended may have in force is held back.
-    Lock,
+    EndedProcesses,
     /// What lives on the log may have is held back by a new counter.
-    Rest,
+    UnreportedProcesses,
 }
 
 #[cfg(not(feature = "mutants"))]
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Guard {
-    Order,
-    Meant,
-    Newest,
-    Lock,
-    Rest,
+    CallOrder,
+    IntendedTerm,
+    NewestAnswer,
+    EndedProcesses,
+    UnreportedProcesses,
 }
 
 /// Size of a gateway's token bucket, as a part of a tenant's cap within bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Depth {
+pub struct BucketDepth {
     /// The cap is divided by this.
     pub divisor: u64,
     /// Least units; 1 at least.
-    pub least: u64,
+    pub min: u64,
     /// Most units.
-    pub most: u64,
+    pub max: u64,
 }
 
 /// Units beyond the pace that all gateways of a tenant may be allowed in a window.
@@ -60,7 +60,7 @@
 }
 
 /// Figures of the counter and of every gateway's allowance. All times in ms; both sides must run with the same `window_ms`,
-/// `write_ms`, `life_ms`, `lift_ms` and `depth`.
+/// `max_write_delay_ms`, `lease_ms`, `pace_floor_ms` and `depth`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tuning {
     /// The window that slides: `quota_window_s`. 100 at least.
@@ -68,34 +68,34 @@
     /// Width of a slot of a gateway's spends: a unit may stay spent so much longer than a window.
     pub slot_ms: u64,
     /// A request may be written so long after its unit was spent.
-    pub write_ms: u64,
+    pub max_write_delay_ms: u64,
     /// A loan may be spent so long after the gateway's last answered call was sent.
-    pub life_ms: u64,
+    pub lease_ms: u64,
     /// A new life's lifted pace holds so long after its first fetch was sent.
-    pub lift_ms: u64,
+    pub pace_floor_ms: u64,
     /// Units that a gateway may spend of a tenant at once, beyond its pace.
-    pub depth: Depth,
+    pub bucket_depth: BucketDepth,
     /// Units that all gateways together may be allowed beyond their paces in a window.
     pub boost: Boost,
     /// An answer that took longer allows nothing beyond the pace.
-    pub answer_ms: u64,
+    pub max_boost_answer_ms: u64,
     /// A request waits so long at most for the pace.
-    pub hold_ms: u64,
+    pub max_pace_delay_ms: u64,
     /// A gateway gives back what it doesn't need so long after its last call.
-    pub report_ms: u64,
-    /// A gateway refreshes its loans so long after its last call. Well below `life_ms`.
-    pub refresh_ms: u64,
+    pub return_interval_ms: u64,
+    /// A gateway refreshes its loans so long after its last call. Well below `lease_ms`.
+    pub refresh_interval_ms: u64,
     /// Least time between two calls of a gateway whose batch runs low.
-    pub fetch_ms: u64,
+    pub fetch_interval_ms: u64,
     /// Least time between two calls of a gateway while requests wait.
-    pub urgent_ms: u64,
+    pub urgent_fetch_interval_ms: u64,
     /// Least time between two calls of a gateway for units of a tenant whose cap is used up.
-    pub hungry_ms: u64,
+    pub exhausted_fetch_interval_ms: u64,
     /// Units of a cap for each gateway; below them none is held idle.
-    pub idle_share: u64,
+    pub on_demand_cap_per_gateway: u64,
     /// A guard that a test takes out.
     #[cfg(feature = "mutants")]
-    pub without: Option<Guard>,
+    pub disabled_guard: Option<Guard>,
 }
 
 impl Tuning {
@@ -105,27 +105,27 @@
         Tuning {
             window_ms,
             slot_ms: (window_ms / 100).clamp(1, 100),
-            write_ms: 100,
-            life_ms: 8_000,
-            lift_ms: window_ms,
-            depth: Depth { divisor: 128, least: 2, most: 4 },
+            max_write_delay_ms: 100,
+            lease_ms: 8_000,
+            pace_floor_ms: window_ms,
+            bucket_depth: BucketDepth { divisor: 128, min: 2, max: 4 },
             boost: Boost { divisor: 32, extra: 3 },
-            answer_ms: 500,
-            hold_ms: 150,
-            report_ms: 1_000,
-            refresh_ms: 2_000,
-            fetch_ms: 150,
-            urgent_ms: 20,
-            hungry_ms: 300,
-            idle_share: 4,
+            max_boost_answer_ms: 500,
+            max_pace_delay_ms: 150,
+            return_interval_ms: 1_000,
+            refresh_interval_ms: 2_000,
+            fetch_interval_ms: 150,
+            urgent_fetch_interval_ms: 20,
+            exhausted_fetch_interval_ms: 300,
+            on_demand_cap_per_gateway: 4,
             #[cfg(feature = "mutants")]
-            without: None,
+            disabled_guard: None,
         }
     }
 
     #[cfg(feature = "mutants")]
     pub(crate) fn keeps(&self, guard: Guard) -> bool {
-        self.without != Some(guard)
+        self.disabled_guard != Some(guard)
     }
 
     #[cfg(not(feature = "mutants"))]
@@ -136,23 +136,23 @@
     /// A cap divided among so many gateways is so little that units are lent on demand alone, and held only while they are
     /// spent: what lies idle at one gateway is missing at others.
     pub(crate) fn lends_on_demand(&self, cap: u64, gateways: u64) -> bool {
-        cap < gateways * self.idle_share
+        cap < gateways * self.on_demand_cap_per_gateway
     }
 
     /// Least time between two calls of one of so many gateways: the leader answers all of them.
     pub(crate) fn spacing_ms(&self, gateways: u64) -> u64 {
-        self.urgent_ms.max(gateways * 1_000 / CALLS_PER_S)
+        self.urgent_fetch_interval_ms.max(gateways * 1_000 / CALLS_PER_S)
     }
 
     /// So long is a unit in force after its spend, from the counter's side.
     pub(crate) fn span_ms(&self) -> u64 {
-        self.window_ms + self.write_ms
+        self.window_ms + self.max_write_delay_ms
     }
 
     /// Units that a gateway may spend at once of a tenant with this cap.
     pub(crate) fn depth_of(&self, cap: u64) -> u64 {
-        let Depth { divisor, least, most } = self.depth;
-        (cap / divisor.max(1)).clamp(least, most.max(least))
+        let BucketDepth { divisor, min, max } = self.bucket_depth;
+        (cap / divisor.max(1)).clamp(min, max.max(min))
     }
 
     /// Units that all gateways together may be allowed beyond their paces of a tenant with this cap.
@@ -162,7 +162,7 @@
 
     /// So long does a unit beyond the pace count, from the counter's side.
     pub(crate) fn boost_ms(&self) -> u64 {
-        self.span_ms() + self.answer_ms
+        self.span_ms() + self.max_boost_answer_ms
     }
 
     /// Units of a tenant with this cap that `lives` lives may have in force at most, which spent at a pace of `pace` a
@@ -190,7 +190,14 @@
 impl Limit {
     /// Limit of a tenant by its configuration; `margin` is taken off the cap, which stays 1 at least. `None` where
     /// rate and burst are 0: no limit.
-    pub fn of(rate: f64, burst: f64, window_s: f64, overrun: f64, slack: f64, margin: u64) -> Option<Limit> {
+    pub fn from_rate(
+        rate: f64,
+        burst: f64,
+        window_s: f64,
+        overrun: f64,
+        slack: f64,
+        margin: u64,
+    ) -> Option<Limit> {
         if rate <= 0.0 && burst <= 0.0 {
             return None;
         }
@@ -207,8 +214,14 @@
 
     /// The same with the usual margin: second sends to another server run on no unit of their own, and a request may be
     /// under way between its unit and its first byte.
-    pub fn with_margin(rate: f64, burst: f64, window_s: f64, overrun: f64, slack: f64) -> Option<Limit> {
+    pub fn with_default_margin(
+        rate: f64,
+        burst: f64,
+        window_s: f64,
+        overrun: f64,
+        slack: f64,
+    ) -> Option<Limit> {
         let part = ((rate.max(0.0) * window_s + burst.max(0.0)) * MARGIN_PART) as u64;
-        Limit::of(rate, burst, window_s, overrun, slack, MARGIN + part)
+        Limit::from_rate(rate, burst, window_s, overrun, slack, MARGIN + part)
     }
 }
--- a/crates/quota/src/unused_pace.rs
+++ b/crates/quota/src/unused_pace.rs
@@ -26,7 +26,7 @@
 
     /// Into which nothing flows before `from`.
     pub(crate) fn empty(from: u64, tuning: &Tuning) -> UnusedPace {
-        let under_way = Ring::new(tuning.slot_ms, tuning.answer_ms);
+        let under_way = Ring::new(tuning.slot_ms, tuning.max_boost_answer_ms);
         UnusedPace { stored: 0, rate: 0, settled: from, under_way }
     }
 
--- a/crates/quota/tests/calls.rs
+++ b/crates/quota/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Single calls, by hand.
 
 use nickeljunction_messages::{TenantUnits, UnitsAnswer, UnitsCall};
-use nickeljunction_quota::{Allowance, Boost, Counter, Depth, Limit, Spend, TenantStanding, Tuning};
+use nickeljunction_quota::{Allowance, Boost, BucketDepth, Counter, Limit, Spend, TenantUsage, Tuning};
 use std::collections::BTreeMap;
 
 fn limits(cap: u64) -> BTreeMap<String, Limit> {
@@ -10,7 +10,7 @@
 
 fn tuning() -> Tuning {
     Tuning {
-        depth: Depth { divisor: 1, least: 4, most: 4 },
+        bucket_depth: BucketDepth { divisor: 1, min: 4, max: 4 },
         boost: Boost { divisor: 1_000, extra: 2 },
         ..Tuning::new(5_000)
     }
@@ -20,32 +20,32 @@
 
 fn counter(now: u64, term: u64, cap: u64, log: &Log) -> Counter {
     let mut counter = Counter::new(now, term, tuning(), log.clone());
-    counter.limits(now, &limits(cap));
+    counter.set_limits(now, &limits(cap));
     counter
 }
 
 fn pair(cap: u64) -> (Counter, Allowance, Log) {
     let mut allowance = Allowance::new(0, "g", 7, tuning());
-    allowance.known(0, &limits(cap));
-    allowance.moved(0, 1);
+    allowance.set_limits(0, &limits(cap));
+    allowance.leader_changed(0, 1);
     (counter(0, 1, cap, &Log::new()), allowance, Log::new())
 }
 
 /// As a leader does it.
 fn call(counter: &mut Counter, log: &mut Log, now: u64, call: &UnitsCall, gateways: usize) -> UnitsAnswer {
-    if let Some(roll) = counter.before(now, call) {
-        log.extend(roll.come);
-        counter.logged(log);
-        counter.came(call.life);
+    if let Some(roll) = counter.enrollment_for(now, call) {
+        log.extend(roll.added);
+        counter.set_logged_processes(log);
+        counter.enrollment_committed(call.life);
     }
-    counter.call(now, call, gateways)
+    counter.handle_call(now, call, gateways)
 }
 
 #[test]
 fn lost_answer_and_second_copy_lend_nothing_twice() {
     let (mut counter, mut allowance, mut log) = pair(80);
     let first = allowance.poll(0).unwrap();
-    assert!(counter.call(5, &first, 4).tell, "nothing for one that isn't on the log");
+    assert!(counter.handle_call(5, &first, 4).tell, "nothing for one that isn't on the log");
     let lost = call(&mut counter, &mut log, 5, &first, 4);
     assert_eq!((lost.tenants["t"].granted, lost.tenants["t"].lift), (10, 10));
     assert_eq!(allowance.spend(6, "t"), Spend::Wait);
@@ -60,13 +60,13 @@
     let answer = call(&mut counter, &mut log, 405, &second, 4);
     let lent = answer.tenants["t"].granted;
     assert_eq!(counter.used(405, "t"), lent, "what the first call was lent has come back");
-    assert!(counter.call(406, &second, 4).tenants.is_empty());
-    assert!(counter.call(407, &first, 4).tenants.is_empty());
+    assert!(counter.handle_call(406, &second, 4).tenants.is_empty());
+    assert!(counter.handle_call(407, &first, 4).tenants.is_empty());
     assert_eq!(counter.used(407, "t"), lent);
     allowance.answered(410, &answer);
     assert_eq!(allowance.spend(411, "t"), Spend::Done { from: 411, until: 511 });
     assert_eq!(allowance.spend(8_400, "t"), Spend::Wait, "too old");
-    assert!(!allowance.also(8_400, "t"), "nor for a further try");
+    assert!(!allowance.spend_for_retry(8_400, "t"), "nor for a further try");
     assert_eq!(allowance.spend(8_400, "free"), Spend::Done { from: 0, until: u64::MAX });
 }
 
@@ -81,7 +81,7 @@
     // 10 units a window: one in 500 ms; those who would wait longer ask for more.
     assert_eq!(allowance.spend(400, "t"), Spend::Done { from: 520, until: 620 });
     assert_eq!(allowance.spend(400, "t"), Spend::Wait);
-    assert!(!allowance.also(400, "t"), "nor is a further try within the pace");
+    assert!(!allowance.spend_for_retry(400, "t"), "nor is a further try within the pace");
     assert_eq!(allowance.held(400, "t"), 5);
     assert_eq!(allowance.held(5_149, "t"), 5);
     assert_eq!(allowance.held(5_150, "t"), 9, "a slot's end, the window and the time to write later");
@@ -103,7 +103,7 @@
     assert_eq!(allowance.spend(36, "t"), Spend::Wait);
     // A new counter can't know what the old one allowed.
     let mut second = self::counter(100, 2, 80, &log);
-    allowance.moved(120, 2);
+    allowance.leader_changed(120, 2);
     let all = allowance.poll(120).unwrap();
     assert!(all.tenants["t"].boost > 0);
     assert_eq!(call(&mut second, &mut log, 125, &all, 4).tenants["t"].boost, 0);
@@ -118,7 +118,8 @@
         seq += 1;
         let tenants =
             BTreeMap::from([("t".to_owned(), TenantUnits { loan: 10, boost, ..Default::default() })]);
-        counter.call(now, &UnitsCall { life: 7, seq, tenants, ..Default::default() }, 4).tenants["t"].boost
+        counter.handle_call(now, &UnitsCall { life: 7, seq, tenants, ..Default::default() }, 4).tenants["t"]
+            .boost
     };
     assert_eq!([allowed(20, 9), allowed(40, 9), allowed(60, 9)], [1, 1, 0], "halves of two");
     assert_eq!(allowed(400, 9), 0, "they may still be on their way");
@@ -135,10 +136,10 @@
             BTreeMap::from([("t".to_owned(), TenantUnits { loan: 10, boosted, ..Default::default() })]);
         let name = "g".to_owned();
         let all = UnitsCall { life: 7, seq: 1, all: true, to: 2, name, tells_boosted, ..Default::default() };
-        counter.call(0, &UnitsCall { tenants, ..all.clone() }, 4);
-        counter.call(100, &UnitsCall { seq: 2, end: true, ..all }, 4);
+        counter.handle_call(0, &UnitsCall { tenants, ..all.clone() }, 4);
+        counter.handle_call(100, &UnitsCall { seq: 2, end: true, ..all }, 4);
         // Of its last moments, at the end of the window: its bucket, a unit of its pace, and those beyond it.
-        assert_eq!(counter.standings(100 + 5_000)["t"].ended, 4 + 1 + held_back);
+        assert_eq!(counter.usage_by_tenant(100 + 5_000)["t"].held_for_ended, 4 + 1 + held_back);
     }
 }
 
@@ -150,13 +151,19 @@
     assert_eq!(counter.used(8_004, "t"), 10);
     // At its pace it can have spent as much in the rest of the window.
     assert_eq!(counter.used(8_005 + 4_100, "t"), 4 + 2);
-    let held = TenantStanding { cap: 80, lent: 0, ended: 4 + 2, unheard: 0, held_ms: Some(4_100) };
-    assert_eq!(counter.standings(8_005 + 4_100)["t"], held);
+    let held = TenantUsage {
+        cap: 80,
+        lent: 0,
+        held_for_ended: 4 + 2,
+        held_for_unreported: 0,
+        held_back_ms: Some(4_100),
+    };
+    assert_eq!(counter.usage_by_tenant(8_005 + 4_100)["t"], held);
     assert_eq!(counter.used(8_005 + 5_099, "t"), 4 + 1);
     assert_eq!(counter.used(8_005 + 5_100, "t"), 0);
-    assert_eq!(counter.after(13_105).unwrap().gone, [7], "it may leave the log");
+    assert_eq!(counter.removable_processes(13_105).unwrap().removed, [7], "it may leave the log");
     let again = allowance.poll(13_106).unwrap();
-    assert!(counter.call(13_110, &again, 4).tell, "nothing for one that leaves the log");
+    assert!(counter.handle_call(13_110, &again, 4).tell, "nothing for one that leaves the log");
 }
 
 #[test]
@@ -167,24 +174,25 @@
     (0..4).for_each(|_| assert!(matches!(allowance.spend(20, "t"), Spend::Done { .. })));
     let mut counter = counter(900, 2, 80, &log);
     assert_eq!(counter.used(900, "t"), 80);
-    let held = TenantStanding { cap: 80, lent: 0, ended: 0, unheard: 80, held_ms: Some(30) };
-    assert_eq!(counter.standings(930)["t"], held);
-    allowance.moved(950, 2);
+    let held =
+        TenantUsage { cap: 80, lent: 0, held_for_ended: 0, held_for_unreported: 80, held_back_ms: Some(30) };
+    assert_eq!(counter.usage_by_tenant(930)["t"], held);
+    allowance.leader_changed(950, 2);
     let all = allowance.poll(950).unwrap();
     assert!(all.all);
     let answer = call(&mut counter, &mut log, 960, &all, 4);
     assert_eq!(counter.used(960, "t"), 10 + answer.tenants["t"].granted, "the only life has told");
     // Its machine comes back with another process: what the first one had goes with the window.
     let mut reborn = Allowance::new(2_000, "g", 8, tuning());
-    reborn.known(2_000, &limits(80));
-    reborn.moved(2_000, 3);
+    reborn.set_limits(2_000, &limits(80));
+    reborn.leader_changed(2_000, 3);
     let mut third = self::counter(2_500, 3, 80, &log);
     let answer = call(&mut third, &mut log, 2_600, &reborn.poll(2_600).unwrap(), 4);
     // Of the process that is gone: its depth, and the cap's pace over 4.5 s of the window, and what was allowed beyond.
     assert_eq!(third.used(2_600, "t"), 4 + 72 + 2 + answer.tenants["t"].granted);
     // The old counter's word is out of date from now on.
     allowance.answered(2_605, &UnitsAnswer { seq: all.seq, term: 2, ..UnitsAnswer::default() });
-    allowance.moved(2_610, 3);
+    allowance.leader_changed(2_610, 3);
     let late = allowance.poll(2_610).unwrap();
     let held = allowance.held(2_620, "t");
     allowance.answered(2_620, &UnitsAnswer { seq: late.seq, term: 2, ..UnitsAnswer::default() });
@@ -206,7 +214,7 @@
 fn a_call_that_comes_after_its_life_has_ended_changes_nothing() {
     let (late, mut counter, _, _) = overtaken(80);
     assert_eq!(counter.used(8_405 + 1_000, "t"), 10, "its units are in force for a window");
-    assert!(counter.call(8_405 + 1_000, &late, 4).tenants.is_empty());
+    assert!(counter.handle_call(8_405 + 1_000, &late, 4).tenants.is_empty());
     assert_eq!(counter.used(8_405 + 1_000, "t"), 10);
 }
 
@@ -217,18 +225,18 @@
     let mut counter = self::counter(500, 2, 80, &log);
     assert!(call(&mut counter, &mut log, 510, &late, 4).tell);
     assert_eq!(counter.used(510, "t"), 80, "what it told was of before the ten units");
-    allowance.moved(520, 2);
+    allowance.leader_changed(520, 2);
     call(&mut counter, &mut log, 530, &allowance.poll(520).unwrap(), 4);
     assert_eq!(counter.used(530, "t"), 10);
 }
 
 #[test]
 fn a_new_counter_tells_until_when_it_holds_back_for_lives_that_never_tell() {
-    let (held, mut log) = (counter(100, 2, 40, &Log::new()).held_ms(), Log::new());
+    let (held, mut log) = (counter(100, 2, 40, &Log::new()).takeover_ms(), Log::new());
     assert_eq!(held, 0, "nobody has had a unit");
     log.insert(7, "g".to_owned());
     let mut new = counter(100, 2, 40, &log);
-    let held = new.held_ms();
+    let held = new.takeover_ms();
     assert!(new.used(100, "t") > 0);
     assert!(new.used(100 + held * 2 / 3, "t") > 0, "it does not tell far too much");
     assert_eq!(new.used(100 + held, "t"), 0);
@@ -238,8 +246,8 @@
 fn followed(cap: u64, pace: u64, loan: u64, over: u64) -> Counter {
     let log = Log::from([(7, "g".to_owned()), (8, "h".to_owned())]);
     let mut counter = Counter::new(1_000, 2, tuning(), log);
-    counter.limits(1_000, &BTreeMap::from([("t".to_owned(), Limit { cap, pace })]));
-    assert!(!counter.call(1_010, &tells(1, loan, over, 0), 2).tell);
+    counter.set_limits(1_000, &BTreeMap::from([("t".to_owned(), Limit { cap, pace })]));
+    assert!(!counter.handle_call(1_010, &tells(1, loan, over, 0), 2).tell);
     counter
 }
 
@@ -251,7 +259,7 @@
 }
 
 fn lent(counter: &mut Counter, now: u64, call: &UnitsCall) -> u64 {
-    counter.call(now, call, 2).tenants["t"].granted
+    counter.handle_call(now, call, 2).tenants["t"].granted
 }
 
 #[test]
@@ -260,8 +268,8 @@
     let answer = call(&mut counter_1, &mut log, 5, &allowance.poll(0).unwrap(), 4);
     allowance.answered(10, &answer);
     (0..4).for_each(|_| assert!(matches!(allowance.spend(20, "t"), Spend::Done { .. })));
-    allowance.known(30, &limits(16));
-    allowance.moved(40, 2);
+    allowance.set_limits(30, &limits(16));
+    allowance.leader_changed(40, 2);
     let told = allowance.poll(40).unwrap().tenants["t"].clone();
     assert_eq!((told.loan, told.over), (4, 2), "four are spent, two may be");
     // As 12 are spent and 2 may be, the other one may have 10 of 12.
@@ -273,12 +281,12 @@
 fn a_limit_lowered_after_a_takeover_cuts_what_the_silent_may_have_by_its_part() {
     let mut counter = followed(80, 80, 60, 0);
     assert_eq!(counter.used(1_020, "t"), 80);
-    counter.limits(1_030, &limits(40));
+    counter.set_limits(1_030, &limits(40));
     assert_eq!(counter.used(1_030, "t"), 60 + 10);
     assert_eq!(lent(&mut counter, 1_040, &tells(2, 30, 0, 6)), 0, "10 are the other one's");
     // What 8 has spent, should it have ended, is not cut with the pace alone.
     let mut counter = followed(80, 80, 60, 0);
-    counter.limits(1_030, &BTreeMap::from([("t".to_owned(), Limit { cap: 80, pace: 40 })]));
+    counter.set_limits(1_030, &BTreeMap::from([("t".to_owned(), Limit { cap: 80, pace: 40 })]));
     assert_eq!(counter.used(1_030, "t"), 80);
 }
 
@@ -296,17 +304,17 @@
     allowance.answered(10, &answer);
     let held = allowance.held(20, "t");
     let limit = |cap, pace| BTreeMap::from([("t".to_owned(), Limit { cap, pace })]);
-    allowance.known(20, &limit(80, 20));
+    allowance.set_limits(20, &limit(80, 20));
     let cut = allowance.held(20, "t");
     assert!(0 < cut && cut < held);
-    allowance.known(30, &limit(70, 60));
+    allowance.set_limits(30, &limit(70, 60));
     assert_eq!(allowance.held(30, "t"), cut);
 }
 
 /// One of ten gateways before a tenant whose cap is a unit for each.
 fn one_of_ten() -> (Counter, Allowance, Log) {
     let (mut counter, mut allowance, mut log) = pair(10);
-    allowance.fleet(10);
+    allowance.set_gateway_count(10);
     let start = allowance.poll(0).unwrap();
     let answer = call(&mut counter, &mut log, 5, &start, 10);
     allowance.answered(10, &answer);
@@ -357,10 +365,10 @@
 fn a_request_whose_call_is_under_way_at_the_time_out_may_wait_for_its_answer() {
     let (_, mut allowance, _) = one_of_ten();
     assert_eq!(allowance.spend(500, "t"), Spend::Wait);
-    assert!(!allowance.asks("t", 500), "no call yet");
+    assert!(!allowance.is_fetching("t", 500), "no call yet");
     allowance.poll(640).unwrap();
-    assert!(allowance.asks("t", 500));
-    assert!(!allowance.asks("t", 641), "it came after the call went out");
+    assert!(allowance.is_fetching("t", 500));
+    assert!(!allowance.is_fetching("t", 641), "it came after the call went out");
     allowance.failed(900);
-    assert!(!allowance.asks("t", 500));
+    assert!(!allowance.is_fetching("t", 500));
 }
--- a/crates/quota/tests/grown.rs
+++ b/crates/quota/tests/grown.rs
@@ -20,8 +20,9 @@
 
 /// In service for 12 s.
 fn grown(seed: u64) -> World {
-    let limit =
-        |usual: f64| (Limit::with_margin(usual * 1.6, usual * 1.6, 5.0, 0.1, 20.0).expect("a limit"), usual);
+    let limit = |usual: f64| {
+        (Limit::with_default_margin(usual * 1.6, usual * 1.6, 5.0, 0.1, 20.0).expect("a limit"), usual)
+    };
     let mut world = World::new(seed, GATEWAYS, &USUAL.map(limit));
     // Regions are apart.
     world.delay = (1, 40);
--- a/crates/quota/tests/large.rs
+++ b/crates/quota/tests/large.rs
@@ -20,7 +20,7 @@
     let whole: f64 = (0..TENANTS).map(part).sum();
     let tenant = |number| {
         let usual = USUAL * part(number) / whole;
-        (Limit::with_margin(usual * 1.6, usual * 1.6, 5.0, 0.1, 20.0).expect("a limit"), usual)
+        (Limit::with_default_margin(usual * 1.6, usual * 1.6, 5.0, 0.1, 20.0).expect("a limit"), usual)
     };
     let tenants: Vec<(Limit, f64)> = (0..TENANTS).map(tenant).collect();
     let mut world = World::new(seed, GATEWAYS, &tenants);
--- a/crates/quota/tests/reference.rs
+++ b/crates/quota/tests/reference.rs
@@ -61,7 +61,7 @@
 
 /// All that was sent, and what follows from it.
 struct Reference {
-    life_ms: u64,
+    lease_ms: u64,
     lives: HashMap<u64, Life>,
     /// Of each tenant, oldest first: when it was sent.
     sent: Vec<Vec<u64>>,
@@ -72,7 +72,7 @@
 impl Reference {
     fn new(world: &World) -> Reference {
         Reference {
-            life_ms: world.tuning.life_ms,
+            lease_ms: world.tuning.lease_ms,
             lives: HashMap::new(),
             sent: vec![Vec::new(); RATES.len()],
             caps: world.tenants.iter().map(|luck| vec![(0, luck.cap)]).collect(),
@@ -112,7 +112,7 @@
                     let (sent, cap) = (self.window(of, *at), self.cap(of, *at));
                     prop_assert!(sent <= cap, "{} ms: tenant {} sent {} of {}", at, of, sent, cap);
                     let answered = self.lives.get(&life).and_then(|life| life.answered);
-                    let fresh = answered.is_some_and(|answered| *at <= answered + self.life_ms);
+                    let fresh = answered.is_some_and(|answered| *at <= answered + self.lease_ms);
                     prop_assert!(fresh, "{} ms: a life sends that was answered at {:?}", at, answered);
                     prop_assert!(world.log.contains_key(&life), "{} ms: a life sends that isn't listed", at);
                 }
@@ -148,12 +148,12 @@
 }
 
 fn limits() -> Vec<Limit> {
-    RATES.iter().map(|rate| Limit::of(*rate, 0.0, 5.0, 0.1, 4.0, 0).expect("a limit")).collect()
+    RATES.iter().map(|rate| Limit::from_rate(*rate, 0.0, 5.0, 0.1, 4.0, 0).expect("a limit")).collect()
 }
 
 /// A history, with a guard taken out or with all of them.
 fn play(seed: u64, acts: &[Act], without: Option<Guard>) -> TestCaseResult {
-    let tuning = Tuning { without, ..Tuning::new(WINDOW_MS) };
+    let tuning = Tuning { disabled_guard: without, ..Tuning::new(WINDOW_MS) };
     let tenants: Vec<(Limit, f64)> = limits().into_iter().zip(RATES).collect();
     let mut world = World::tuned(seed, GATEWAYS, &tenants, tuning);
     let mut reference = Reference::new(&world);
@@ -211,7 +211,7 @@
         world.set_cap(of, cap);
         (world.tenants[of].rate, world.tenants[of].uneven) = (RATES[of] * 3.0, false);
     }
-    run(world, reference, world.tuning.life_ms + 2 * WINDOW_MS)?;
+    run(world, reference, world.tuning.lease_ms + 2 * WINDOW_MS)?;
     for (of, rate) in RATES.iter().enumerate() {
         let (sent, owed) = (reference.window(of, world.now), rate * WINDOW_MS as f64 / 1_000.0);
         prop_assert!(sent as f64 >= owed * 0.6, "tenant {} got {} of {} after it", of, sent, owed);
@@ -243,7 +243,7 @@
 
 #[test]
 fn the_reference_finds_each_guard_that_is_taken_out() {
-    for guard in [Guard::Order, Guard::Newest, Guard::Lock, Guard::Rest] {
+    for guard in [Guard::CallOrder, Guard::NewestAnswer, Guard::EndedProcesses, Guard::UnreportedProcesses] {
         let found = runner(2_000).run(&histories(), |(seed, acts)| play(seed, &acts, Some(guard)));
         let Err(TestError::Fail(why, (seed, acts))) = found else { panic!("without {guard:?}: {found:?}") };
         println!("without {guard:?}: {why}; seed {seed}, {acts:?}");
--- a/crates/quota/tests/units_model.rs
+++ b/crates/quota/tests/units_model.rs
@@ -6,7 +6,7 @@
 //! comes in time comes at once.
 
 use nickeljunction_messages::{UnitsAnswer, UnitsCall};
-use nickeljunction_quota::{Allowance, Boost, Counter, Depth, Guard, Limit, Spend, Tuning};
+use nickeljunction_quota::{Allowance, Boost, BucketDepth, Counter, Guard, Limit, Spend, Tuning};
 use stateright::{Checker, Expectation, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -24,20 +24,20 @@
     Tuning {
         window_ms: WINDOW_MS,
         slot_ms: 1,
-        write_ms: 0,
-        life_ms: 2 * STEP_MS,
-        lift_ms: WINDOW_MS,
-        depth: Depth { divisor: 1, least: 1, most: 1 },
+        max_write_delay_ms: 0,
+        lease_ms: 2 * STEP_MS,
+        pace_floor_ms: WINDOW_MS,
+        bucket_depth: BucketDepth { divisor: 1, min: 1, max: 1 },
         boost: Boost { divisor: 1_000, extra: 1 },
-        answer_ms: STEP_MS,
-        hold_ms: 0,
-        report_ms: STEP_MS,
-        refresh_ms: STEP_MS,
-        fetch_ms: STEP_MS,
-        urgent_ms: STEP_MS,
-        hungry_ms: STEP_MS,
+        max_boost_answer_ms: STEP_MS,
+        max_pace_delay_ms: 0,
+        return_interval_ms: STEP_MS,
+        refresh_interval_ms: STEP_MS,
+        fetch_interval_ms: STEP_MS,
+        urgent_fetch_interval_ms: STEP_MS,
+        exhausted_fetch_interval_ms: STEP_MS,
         // Units are lent ahead of need, too: the wider case.
-        idle_share: 0,
+        on_demand_cap_per_gateway: 0,
         ..Tuning::new(WINDOW_MS)
     }
 }
@@ -93,12 +93,12 @@
 
 impl World {
     fn answer(&mut self, call: &UnitsCall) -> UnitsAnswer {
-        if let Some(roll) = self.counter.before(self.now, call) {
-            self.log.extend(roll.come);
-            self.counter.logged(&self.log);
-            self.counter.came(call.life);
+        if let Some(roll) = self.counter.enrollment_for(self.now, call) {
+            self.log.extend(roll.added);
+            self.counter.set_logged_processes(&self.log);
+            self.counter.enrollment_committed(call.life);
         }
-        self.counter.call(self.now, call, 2)
+        self.counter.handle_call(self.now, call, 2)
     }
 
     /// Most units that a window that ends now may have.
@@ -179,8 +179,8 @@
 
     fn allowance(&self, now: u64, to: usize, life: u64, world_term: u64) -> Allowance {
         let mut allowance = Allowance::new(now, format!("g{to}"), life, self.gateways.clone());
-        allowance.known(now, &limits(CAP));
-        allowance.moved(now, world_term);
+        allowance.set_limits(now, &limits(CAP));
+        allowance.leader_changed(now, world_term);
         allowance
     }
 }
@@ -192,7 +192,7 @@
     fn init_states(&self) -> Vec<World> {
         let now = 10 * STEP_MS;
         let mut counter = Counter::new(now, 1, self.tuning.clone(), BTreeMap::new());
-        counter.limits(now, &limits(CAP));
+        counter.set_limits(now, &limits(CAP));
         vec![World {
             now,
             term: 1,
@@ -307,7 +307,7 @@
                 world.calls.retain(|(from, _)| *from != to);
                 world.allowances[to] = self.allowance(now, to, world.lives[to], world.term);
                 if world.lowered[to] {
-                    world.allowances[to].known(now, &limits(LOWERED));
+                    world.allowances[to].set_limits(now, &limits(LOWERED));
                 }
             }
             Act::Succeed => {
@@ -315,18 +315,18 @@
                 world.term += 1;
                 let log = if self.forgetful { BTreeMap::new() } else { world.log.clone() };
                 world.counter = Counter::new(now, world.term, self.tuning.clone(), log);
-                world.counter.limits(now, &limits(if world.lowered[2] { LOWERED } else { CAP }));
+                world.counter.set_limits(now, &limits(if world.lowered[2] { LOWERED } else { CAP }));
             }
             Act::Clean => {
-                let gone = world.counter.after(now)?.gone;
+                let gone = world.counter.removable_processes(now)?.removed;
                 world.log.retain(|life, _| !gone.contains(life));
-                world.counter.logged(&world.log);
+                world.counter.set_logged_processes(&world.log);
             }
             Act::Lower(who) => {
                 world.lowered[who] = true;
                 match who {
-                    2 => world.counter.limits(now, &limits(LOWERED)),
-                    to => world.allowances[to].known(now, &limits(LOWERED)),
+                    2 => world.counter.set_limits(now, &limits(LOWERED)),
+                    to => world.allowances[to].set_limits(now, &limits(LOWERED)),
                 }
                 if world.lowered.iter().all(|known| *known) {
                     world.all_lowered = Some(now);
@@ -417,7 +417,7 @@
 
 /// Units are lent to requests that wait, and go back after their window.
 fn on_demand(rule: &Rule) -> Rule {
-    let tuning = |tuning: &Tuning| Tuning { idle_share: CAP + 1, ..tuning.clone() };
+    let tuning = |tuning: &Tuning| Tuning { on_demand_cap_per_gateway: CAP + 1, ..tuning.clone() };
     Rule { tuning: tuning(&rule.tuning), gateways: tuning(&rule.gateways), waits: true, ..rule.clone() }
 }
 
@@ -439,7 +439,9 @@
     let early = Rule { gateways: Tuning { window_ms: STEP_MS, ..tuning() }, ..calm.clone() };
     needed("a whole window", 1_000, &on_demand(&calm), &on_demand(&early));
     needed("names", 1_000, &on_demand(&lost()), &on_demand(&Rule { forgetful: true, ..lost() }));
-    for (what, guard, ways) in [("the rest", Guard::Rest, 15_000), ("locks", Guard::Lock, 1_000)] {
+    for (what, guard, ways) in
+        [("the rest", Guard::UnreportedProcesses, 15_000), ("locks", Guard::EndedProcesses, 1_000)]
+    {
         needed(what, ways, &on_demand(&lost()), &on_demand(&without(guard, &lost())));
     }
 }
@@ -453,14 +455,16 @@
 }
 
 fn without(guard: Guard, rule: &Rule) -> Rule {
-    let out = |tuning: &Tuning| Tuning { without: Some(guard), ..tuning.clone() };
+    let out = |tuning: &Tuning| Tuning { disabled_guard: Some(guard), ..tuning.clone() };
     Rule { tuning: out(&rule.tuning), gateways: out(&rule.gateways), ..rule.clone() }
 }
 
 #[test]
 fn without_the_pace_it_is_broken() {
-    let hasty =
-        Rule { gateways: Tuning { depth: Depth { divisor: 1, least: 9, most: 9 }, ..tuning() }, ..lost() };
+    let hasty = Rule {
+        gateways: Tuning { bucket_depth: BucketDepth { divisor: 1, min: 9, max: 9 }, ..tuning() },
+        ..lost()
+    };
     needed("the pace", 4_000, &lost(), &hasty);
 }
 
@@ -471,7 +475,7 @@
 
 #[test]
 fn without_the_end_of_loans_it_is_broken() {
-    let lasting = Rule { gateways: Tuning { life_ms: 10 * STEP_MS, ..tuning() }, ..lost() };
+    let lasting = Rule { gateways: Tuning { lease_ms: 10 * STEP_MS, ..tuning() }, ..lost() };
     needed("the end of loans", 1_000, &lost(), &lasting);
 }
 
@@ -484,29 +488,29 @@
 
 #[test]
 fn without_what_lives_on_the_log_may_have_it_is_broken() {
-    needed("the rest", 2_000, &lost(), &without(Guard::Rest, &lost()));
+    needed("the rest", 2_000, &lost(), &without(Guard::UnreportedProcesses, &lost()));
 }
 
 #[test]
 fn without_what_ended_lives_may_have_it_is_broken() {
-    needed("locks", 2_000, &lost(), &without(Guard::Lock, &lost()));
+    needed("locks", 2_000, &lost(), &without(Guard::EndedProcesses, &lost()));
 }
 
 #[test]
 fn with_overtaken_calls_it_is_broken() {
     let late = Rule { late: true, ..lost() };
-    needed("the order of calls", 2_000, &late, &without(Guard::Order, &late));
+    needed("the order of calls", 2_000, &late, &without(Guard::CallOrder, &late));
 }
 
 #[test]
 fn with_answers_to_older_calls_it_is_broken() {
     let late = Rule { steps: 12, late: true, waits: true, successors: 2, ..lost() };
-    needed("the newest answer alone", 2_000, &late, &without(Guard::Newest, &late));
+    needed("the newest answer alone", 2_000, &late, &without(Guard::NewestAnswer, &late));
 }
 
 /// A call that tells all, late until another counter leads: it told less than has been lent since.
 #[test]
 fn with_calls_meant_for_an_older_counter_it_is_broken() {
     let late = Rule { late: true, kills: 0, successors: 2, ..lost() };
-    needed("the counter's own term", 2_000, &late, &without(Guard::Meant, &late));
+    needed("the counter's own term", 2_000, &late, &without(Guard::IntendedTerm, &late));
 }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use nickeljunction_messages::{UnitsAnswer, UnitsCall};
-use nickeljunction_quota::{Allowance, Counter, Limit, Roll, Spend, Tuning};
+use nickeljunction_quota::{Allowance, Counter, Limit, ProcessListChange, Spend, Tuning};
 use std::collections::BTreeMap;
 
 pub const WINDOW_MS: u64 = 5_000;
@@ -133,7 +133,7 @@
             tuning,
         };
         let mut counter = Counter::new(world.now, 1, world.tuning.clone(), BTreeMap::new());
-        counter.limits(world.now, &world.limits());
+        counter.set_limits(world.now, &world.limits());
         world.counter = Some(counter);
         for number in 0..gateways {
             let gateway = world.gateway(number);
@@ -155,10 +155,10 @@
         let tuning = self.gateway_tuning.clone();
         let life = self.rng.u64(..);
         let mut allowance = Allowance::new(self.now, format!("g{number}"), life, tuning);
-        allowance.fleet(self.known_gateways);
-        allowance.known(self.now, &self.limits());
+        allowance.set_gateway_count(self.known_gateways);
+        allowance.set_limits(self.now, &self.limits());
         // It learns who leads before it learns of any tenant.
-        allowance.moved(self.now, self.term);
+        allowance.leader_changed(self.now, self.term);
         let (up, wake) = (true, self.now);
         Gateway {
             allowance,
@@ -206,12 +206,12 @@
     pub fn succeed(&mut self) {
         self.term += 1;
         let mut counter = Counter::new(self.now, self.term, self.tuning.clone(), self.known());
-        counter.limits(self.now, &self.limits());
+        counter.set_limits(self.now, &self.limits());
         self.counter = Some(counter);
         let now = self.now;
         for gateway in self.gateways.iter_mut().filter(|gateway| gateway.up && gateway.frozen_until <= now) {
             gateway.flight = None;
-            gateway.allowance.moved(now, self.term);
+            gateway.allowance.leader_changed(now, self.term);
             gateway.wake = now + self.rng.u64(0..100);
         }
     }
@@ -229,10 +229,10 @@
         self.facts.push((self.now, Fact::Cap(number, cap)));
         let (now, limits) = (self.now, self.limits());
         if let Some(counter) = &mut self.counter {
-            counter.limits(now, &limits);
+            counter.set_limits(now, &limits);
         }
         for gateway in &mut self.gateways {
-            gateway.allowance.known(now, &limits);
+            gateway.allowance.set_limits(now, &limits);
             gateway.wake = now;
         }
     }
@@ -343,10 +343,10 @@
         }
     }
 
-    fn enroll(counter: &mut Counter, log: &mut BTreeMap<u64, String>, roll: Roll) {
-        log.retain(|life, _| !roll.gone.contains(life));
-        log.extend(roll.come);
-        counter.logged(log);
+    fn enroll(counter: &mut Counter, log: &mut BTreeMap<u64, String>, roll: ProcessListChange) {
+        log.retain(|life, _| !roll.removed.contains(life));
+        log.extend(roll.added);
+        counter.set_logged_processes(log);
     }
 
     fn deliver(&mut self, parcel: Parcel) {
@@ -356,11 +356,11 @@
                 let gateways = self.gateways.len();
                 let reaches = term == self.term || self.same;
                 let Some(counter) = self.counter.as_mut().filter(|_| reaches) else { return };
-                if let Some(roll) = counter.before(now, &call) {
+                if let Some(roll) = counter.enrollment_for(now, &call) {
                     Self::enroll(counter, &mut self.log, roll);
-                    counter.came(call.life);
+                    counter.enrollment_committed(call.life);
                 }
-                let answer = counter.call(now, &call, gateways);
+                let answer = counter.handle_call(now, &call, gateways);
                 if self.gateways[from].cut_until <= now {
                     self.post(Parcel::Answer(from, call.life, answer));
                 }
@@ -395,7 +395,7 @@
         self.now += 1;
         let now = self.now;
         if let Some(counter) = self.counter.as_mut().filter(|_| now.is_multiple_of(200)) {
-            if let Some(roll) = counter.after(now) {
+            if let Some(roll) = counter.removable_processes(now) {
                 Self::enroll(counter, &mut self.log, roll);
             }
         }
--- a/crates/quota/tests/worlds.rs
+++ b/crates/quota/tests/worlds.rs
@@ -10,7 +10,7 @@
 fn limited(seed: u64, times: f64, burst_s: f64) -> World {
     let tenant = |usual: f64| {
         let rate = usual * times;
-        (Limit::with_margin(rate, rate * burst_s, 5.0, 0.1, 20.0).expect("a limit"), usual)
+        (Limit::with_default_margin(rate, rate * burst_s, 5.0, 0.1, 20.0).expect("a limit"), usual)
     };
     World::new(seed, 9, &[tenant(60.0), tenant(30.0), tenant(30.0), tenant(8.0), tenant(3.0), tenant(1.0)])
 }
@@ -92,11 +92,11 @@
         match self {
             Without::Nothing => {}
             Without::Pace => {
-                world.gateway_tuning.depth =
-                    nickeljunction_quota::Depth { divisor: 1, least: 1_000, most: 1_000 }
+                world.gateway_tuning.bucket_depth =
+                    nickeljunction_quota::BucketDepth { divisor: 1, min: 1_000, max: 1_000 }
             }
             Without::Names => world.forgetful = true,
-            Without::Expiry => world.gateway_tuning.life_ms *= 10,
+            Without::Expiry => world.gateway_tuning.lease_ms *= 10,
             Without::Window => world.gateway_tuning.window_ms -= 500,
         }
         (0..9).for_each(|number| world.restart(number));
@@ -399,12 +399,13 @@
 fn small_tenants_of_many_gateways_get_what_nobody_holds_idle() {
     const GATEWAYS: usize = 60;
     let play = |known_gateways: u32| {
-        let limit =
-            |usual: f64| (Limit::with_margin(usual * 1.6, usual, 5.0, 0.1, 20.0).expect("a limit"), usual);
+        let limit = |usual: f64| {
+            (Limit::with_default_margin(usual * 1.6, usual, 5.0, 0.1, 20.0).expect("a limit"), usual)
+        };
         let mut world = World::new(31, GATEWAYS, &[10.0, 10.0, 8.0, 8.0, 5.0, 5.0, 12.0, 12.0].map(limit));
         world.known_gateways = known_gateways;
         for gateway in &mut world.gateways {
-            gateway.allowance.fleet(known_gateways);
+            gateway.allowance.set_gateway_count(known_gateways);
         }
         world.run(8_000);
         world.reset_luck();
--- a/crates/replica/src/calls.rs
+++ b/crates/replica/src/calls.rs
@@ -8,7 +8,7 @@
 use nickeljunction_consensus::NotLeader;
 use nickeljunction_messages::UnitsCall;
 use nickeljunction_operations::Batch;
-use nickeljunction_quota::Roll;
+use nickeljunction_quota::ProcessListChange;
 
 /// A call that isn't settled by then is answered as open, ms: operators move on after a second of silence, and repeat it
 /// unchanged elsewhere.
@@ -200,8 +200,8 @@
         }
     }
 
-    fn enroll(&mut self, now: u64, roll: Roll, until: u64, proposed: Proposed) {
-        let Roll { come, gone } = roll;
+    fn enroll(&mut self, now: u64, roll: ProcessListChange, until: u64, proposed: Proposed) {
+        let ProcessListChange { added: come, removed: gone } = roll;
         let names = come.values().cloned().collect();
         self.out.events.push(Event::GatewaysEnrolled { come: names, gone: gone.len() });
         self.propose(now, &Entry::Gateways { come, gone }, until, proposed);
@@ -209,14 +209,14 @@
     }
 
     /// Puts a gateway's process on the log before anything is lent to it.
-    pub(crate) fn enroll_first(&mut self, now: u64, roll: Roll, call: UnitsCall) -> Ticket {
+    pub(crate) fn enroll_first(&mut self, now: u64, roll: ProcessListChange, call: UnitsCall) -> Ticket {
         let ticket = self.ticket();
         self.enroll(now, roll, now + ENROLL_MS, Proposed::Lend(ticket, call));
         ticket
     }
 
     /// Takes processes off the log that have nothing in force.
-    pub(crate) fn forget(&mut self, now: u64, roll: Roll) {
+    pub(crate) fn forget(&mut self, now: u64, roll: ProcessListChange) {
         self.enroll(now, roll, u64::MAX, Proposed::Forget);
     }
 
--- a/crates/replica/src/leader.rs
+++ b/crates/replica/src/leader.rs
@@ -131,7 +131,7 @@
     let limit = |tenant: &nickeljunction_schema::Tenant| {
         let (rate, burst) = tenant.quota()?;
         let (window, overrun, slack) = (bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack);
-        Limit::with_margin(rate, burst, window, overrun, slack)
+        Limit::with_default_margin(rate, burst, window, overrun, slack)
     };
     let tenants = config.tenants.iter();
     tenants.filter_map(|(name, tenant)| Some((name.clone(), limit(tenant)?))).collect()
@@ -172,7 +172,7 @@
             servers: register.servers(),
             gateways: register.gateways(),
             unheard: known,
-            held_ms: counter.held_ms(),
+            held_ms: counter.takeover_ms(),
         });
         self.lead = Some(Lead {
             term,
@@ -200,11 +200,11 @@
         let Some(lead) = &mut self.lead else { return };
         lead.register.evacuated(now, self.state.evacuated().clone());
         lead.register.core(self.book.members().iter().map(|member| member.host.clone()).collect());
-        lead.counter.logged(self.state.gateways());
+        lead.counter.set_logged_processes(self.state.gateways());
         let version = self.state.version();
         if version > lead.version {
             lead.version = version;
-            lead.counter.limits(now, &limits_of(&config, &self.place.bounds));
+            lead.counter.set_limits(now, &limits_of(&config, &self.place.bounds));
             let line = Rc::new(ConfigLine { version, doc: self.state.doc().clone() });
             lead.register.config(line, self.state.document_digest(), self.changes.clone());
         }
@@ -217,7 +217,7 @@
         let silent = lead.register.tick(now);
         self.out.events.extend(silent.into_iter().map(|life| Event::ServerSilent { life }));
         self.out.changed |= lead.register.seq() != before;
-        let forget = if lead.forgets { None } else { lead.counter.after(now) };
+        let forget = if lead.forgets { None } else { lead.counter.removable_processes(now) };
         if let Some(roll) = forget {
             lead.forgets = true;
             self.forget(now, roll);
@@ -247,7 +247,7 @@
     /// # Errors
     /// This member doesn't lead, or is not sure of it.
     pub fn units(&mut self, now: u64, call: &UnitsCall) -> Result<Lent, Elsewhere> {
-        match self.with_lead(now, |lead, _| lead.counter.before(now, call))? {
+        match self.with_lead(now, |lead, _| lead.counter.enrollment_for(now, call))? {
             Some(roll) => Ok(Lent::Later(self.enroll_first(now, roll, call.clone()))),
             None => self.lend(now, call).map(Lent::Now),
         }
@@ -255,14 +255,14 @@
 
     /// The same, once the process is on the log.
     pub(crate) fn lend_to_new(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, Elsewhere> {
-        self.with_lead(now, |lead, _| lead.counter.came(call.life))?;
+        self.with_lead(now, |lead, _| lead.counter.enrollment_committed(call.life))?;
         self.lend(now, call)
     }
 
     fn lend(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, Elsewhere> {
         self.with_lead(now, |lead, age_ms| {
             let gateways = lead.register.gateways() as usize;
-            UnitsAnswer { age_ms, version: lead.version, ..lead.counter.call(now, call, gateways) }
+            UnitsAnswer { age_ms, version: lead.version, ..lead.counter.handle_call(now, call, gateways) }
         })
     }
 
--- a/crates/replica/tests/member.rs
+++ b/crates/replica/tests/member.rs
@@ -472,7 +472,7 @@
     core.run(249);
     let lent = |core: &Core, node: usize| {
         let (_, counter) = core.houses[node].leads().expect("it leads");
-        counter.standings(core.now)["peach"].lent
+        counter.usage_by_tenant(core.now)["peach"].lent
     };
     assert_eq!((core.answered(ticket), lent(&core, old)), (None, 0));
     core.run(1);
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -211,13 +211,13 @@
         self.lease.answered(sent as f64, age);
         let catalog = self.copy.catalog();
         if applied.leader {
-            self.allowance.moved(now, self.copy.term());
+            self.allowance.leader_changed(now, self.copy.term());
         }
         if applied.gateways {
-            self.allowance.fleet(catalog.gateways);
+            self.allowance.set_gateway_count(catalog.gateways);
         }
         if let Some(config) = catalog.config.as_ref().filter(|_| applied.config) {
-            self.allowance.known(now, &limits(&config.doc, &Bounds::usual()));
+            self.allowance.set_limits(now, &limits(&config.doc, &Bounds::usual()));
         }
         for line in applied.trials {
             let (tenant, step, stage) = (line.tenant, line.step, line.stage);
--- a/crates/simulation/tests/cases.rs
+++ b/crates/simulation/tests/cases.rs
@@ -421,7 +421,7 @@
 
 fn cap(rate: u64) -> u64 {
     let (burst, window_s) = (rate as f64, WINDOW_MS as f64 / 1_000.0);
-    nickeljunction_quota::Limit::with_margin(rate as f64, burst, window_s, 0.1, 20.0).unwrap().cap
+    nickeljunction_quota::Limit::with_default_margin(rate as f64, burst, window_s, 0.1, 20.0).unwrap().cap
 }
 
 #[test]
--- a/crates/simulation/tests/storms.rs
+++ b/crates/simulation/tests/storms.rs
@@ -149,7 +149,7 @@
 
 fn cap() -> u64 {
     let (rate, window_s) = (RATE as f64, WINDOW_MS as f64 / 1_000.0);
-    nickeljunction_quota::Limit::with_margin(rate, rate, window_s, 0.1, 20.0).expect("a limit").cap
+    nickeljunction_quota::Limit::with_default_margin(rate, rate, window_s, 0.1, 20.0).expect("a limit").cap
 }
 
 fn storms(of: &str) {
