--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -213,13 +213,13 @@
         self.lease.answered(sent as f64, age);
         let catalog = self.copy.catalog();
         if applied.new_leader {
-            self.allowance.moved(now, self.copy.term());
+            self.allowance.leader_changed(now, self.copy.term());
         }
         if applied.gateways {
-            self.allowance.fleet(catalog.gateway_count);
+            self.allowance.set_gateway_count(catalog.gateway_count);
         }
         if let Some(config) = catalog.config.as_ref().filter(|_| applied.config) {
-            self.allowance.known(now, &limits(&config.document, &Bounds::usual()));
+            self.allowance.set_limits(now, &limits(&config.document, &Bounds::usual()));
         }
         for line in applied.trials {
             let (tenant, step, stage) = (line.tenant, line.step, line.stage);
