--- a/crates/quota/tests/calls.rs
+++ b/crates/quota/tests/calls.rs
@@ -118,7 +118,8 @@
         seq += 1;
         let tenants =
             BTreeMap::from([("t".to_owned(), TenantUnits { loan: 10, boost, ..Default::default() })]);
-        counter.handle_call(now, &UnitsCall { incarnation: 7, seq, tenants, ..Default::default() }, 4).tenants["t"]
+        counter.handle_call(now, &UnitsCall { incarnation: 7, seq, tenants, ..Default::default() }, 4).tenants
+            ["t"]
             .boost
     };
     assert_eq!([allowed(20, 9), allowed(40, 9), allowed(60, 9)], [1, 1, 0], "halves of two");
--- a/crates/replica/src/leader.rs
+++ b/crates/replica/src/leader.rs
@@ -322,8 +322,9 @@
         // Whoever leads by then has a watch of its own.
         if self.unwatched(call, held) && call.caller == Caller::Gateway {
             self.out.events.push(Event::GatewayAway { name: call.name.clone() });
-            let _ =
-                self.with_lead(now, |lead, _| lead.register.gateway_disconnected(now, &call.name, call.incarnation));
+            let _ = self.with_lead(now, |lead, _| {
+                lead.register.gateway_disconnected(now, &call.name, call.incarnation)
+            });
         }
     }
 
