--- a/crates/registry/src/catalog.rs
+++ b/crates/registry/src/catalog.rs
@@ -1,4 +1,5 @@
-//! The watcher's side: an immutable picture of all that the leader tells, swapped whole with every answer.
+//! The watcher's side: an immutable snapshot of everything that the leader publishes, replaced as a whole by each
+//! watch answer that changes it.
 
 use crate::register::PERMIT_LIFE_MS;
 use crate::roster;
@@ -10,30 +11,32 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Ids of lives that went lately and are kept for a successor: more than end within a minute of a whole release.
-const MOST_GONE: usize = 128;
+/// Ids of recently removed server instances that are kept for the case that this member becomes leader. More than end
+/// within a minute while a release replaces all servers.
+const MAX_RECENTLY_REMOVED: usize = 128;
 
-/// All that the leader told, as one snapshot. Cheap to clone: its tables are shared.
+/// Everything that the leader published, as one snapshot. Cheap to clone: its tables are shared.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalog {
-    /// Lives of servers by id.
+    /// Server instances by id.
     pub servers: Rc<BTreeMap<Rc<str>, Rc<ServerLine>>>,
-    /// Zones to whose servers nothing is to be sent.
+    /// Zones whose servers must not receive requests.
     pub evacuated_zones: Rc<BTreeSet<String>>,
     /// The newest configuration.
     pub config: Option<Rc<ConfigLine>>,
-    /// How many gateways there are; rather too many than too few. 0: not told yet.
+    /// Number of gateways, overestimated rather than underestimated. 0: not received yet.
     pub gateway_count: u32,
-    /// IP addresses of the core's machines.
+    /// IP addresses of the core members' machines.
     pub core_hosts: Rc<Vec<String>>,
-    /// All gateways; told to core members, and to gateways that serve the directory.
+    /// All gateways. Only core members and gateways that serve the directory receive this list.
     pub roster: Rc<Vec<GatewayLine>>,
-    /// Step and stage of each tenant whose trial ever changed. From when they hold is told once, in [`CatalogUpdate::trials`].
+    /// Step and stage of each tenant whose trial ever changed. The time from which they are in effect is given only
+    /// once, in [`CatalogUpdate::trials`].
     pub trials: Rc<BTreeMap<String, (u64, u32)>>,
 }
 
 impl Catalog {
-    /// Version of its configuration; 0: none.
+    /// Version of the configuration; 0: there is none.
     pub fn version(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.version)
     }
@@ -42,23 +45,23 @@
 /// How much a gateway may send to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendLimit {
-    /// As much as it takes: the server is warm.
+    /// As much as the server accepts: it is warm.
     Unlimited,
-    /// At the configured rate of a cold server.
+    /// At the configured rate for a cold server.
     WarmupRate,
-    /// Nothing.
+    /// Nothing at all.
     Blocked,
 }
 
 impl SendLimit {
-    /// What `gateway` may send to the server of `line`. `known_ms` is the age of its knowledge: the time since the
-    /// newest answered watch call was *sent*, and that answer's `age_ms`. A permit ends with [`PERMIT_LIFE_MS`], for
-    /// the leader hands it to another gateway after that.
-    pub fn of(line: &ServerLine, gateway: &str, known_ms: u64) -> SendLimit {
+    /// What `gateway` may send to the server described by `line`. `data_age_ms` is the age of the gateway's data: the
+    /// time since it *sent* the newest watch call that was answered, plus that answer's `age_ms`. A permit expires
+    /// after [`PERMIT_LIFE_MS`], because the leader may give it to another gateway after that.
+    pub fn of(line: &ServerLine, gateway: &str, data_age_ms: u64) -> SendLimit {
         match (&line.state, &line.cold) {
             (ServerState::Draining, _) => SendLimit::Blocked,
             (ServerState::InService, None) => SendLimit::Unlimited,
-            (ServerState::InService, Some(holder)) if holder == gateway && known_ms < PERMIT_LIFE_MS => {
+            (ServerState::InService, Some(holder)) if holder == gateway && data_age_ms < PERMIT_LIFE_MS => {
                 SendLimit::WarmupRate
             }
             (ServerState::InService, Some(_)) => SendLimit::Blocked,
@@ -66,19 +69,19 @@
     }
 }
 
-/// Why a gateway sends nothing to a server, whatever the request.
+/// Why a gateway sends no request at all to a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendBlock {
-    /// It leaves.
+    /// The server is shutting down.
     Draining,
-    /// Its zone is evacuated.
+    /// The server's zone is evacuated.
     Evacuated,
-    /// It is cold, and the permit is another gateway's, or nobody's yet.
+    /// The server is cold, and the named gateway holds the permit for it; `None`: no gateway holds it yet.
     Cold(Option<String>),
 }
 
-/// What keeps `gateway` from sending to the server of `line`; `None`: nothing. How old a permit is counts besides, see
-/// [`SendLimit::of`].
+/// Why `gateway` must not send to the server described by `line`; `None`: it may. Doesn't check whether the gateway's
+/// permit has expired, see [`SendLimit::of`] for that.
 pub fn send_block(line: &ServerLine, gateway: &str, evacuated: impl Fn(&str) -> bool) -> Option<SendBlock> {
     match (&line.state, &line.cold) {
         (ServerState::Draining, _) => Some(SendBlock::Draining),
@@ -90,31 +93,31 @@
     }
 }
 
-/// What an answer changed.
+/// What a watch answer changed in the catalog.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CatalogUpdate {
-    /// Lives that came or changed.
+    /// Server instances that were added or changed.
     pub servers: Vec<Rc<str>>,
-    /// Lives that went.
+    /// Server instances that were removed.
     pub removed_servers: Vec<Rc<str>>,
-    /// There is a newer configuration.
+    /// The configuration is newer.
     pub config: bool,
-    /// Other zones are evacuated.
+    /// The set of evacuated zones changed.
     pub evacuated: bool,
-    /// The count of gateways changed.
+    /// The number of gateways changed.
     pub gateways: bool,
-    /// The core's machines changed.
+    /// The core members' machines changed.
     pub core: bool,
     /// The list of gateways changed.
     pub roster: bool,
-    /// Trials with a higher step than was held.
+    /// Trials with a higher step than before.
     pub trials: Vec<TrialLine>,
-    /// The answer came from another leader than the one before.
+    /// The answer came from a different leader than the previous one.
     pub new_leader: bool,
 }
 
 impl CatalogUpdate {
-    /// The catalog is another one than before.
+    /// Whether the catalog differs from the previous one.
     pub fn has_changes(&self) -> bool {
         !self.servers.is_empty()
             || !self.removed_servers.is_empty()
@@ -128,57 +131,64 @@
 }
 
 quick_error! {
-    /// An answer that was not applied, for it leads back.
+    /// Why a watch answer was not applied: it would replace newer data by older, or doesn't fit the data here.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ApplyError {
-        /// From a leader whose successor has been heard.
-        StaleTerm(held: u64, seen: u64) {
-            display("applying an answer: its term {} is older than {}", seen, held)
+        /// The answer is from an earlier leader than one whose answer was applied.
+        StaleTerm(current: u64, received: u64) {
+            display("watch answer not applied: its term {} is older than the current term {}", received, current)
         }
-        /// Older than one of the same leader that was applied.
-        StaleSeq(held: u64, seen: u64) {
-            display("applying an answer: its number {} is older than {}", seen, held)
+        /// The answer is older than one of the same leader that was applied.
+        StaleSeq(current: u64, received: u64) {
+            display("watch answer not applied: its sequence number {} is older than {}", received, current)
         }
-        /// With an older configuration.
-        StaleConfig(held: u64, seen: u64) {
-            display("applying an answer: its configuration {} is older than {}", seen, held)
+        /// The answer's configuration is older than the current one.
+        StaleConfig(current: u64, received: u64) {
+            display("watch answer not applied: its configuration version {} is older than {}", received, current)
         }
-        /// With a difference to another version of the configuration than is held.
-        BaseMismatch(held: u64, from: u64) {
-            display("applying an answer: its difference is to configuration {}, held is {}", from, held)
+        /// The answer's difference applies to another version of the configuration than the current one.
+        BaseMismatch(current: u64, base: u64) {
+            display(
+                "watch answer not applied: its difference is to configuration version {}, but the current one is {}",
+                base, current
+            )
         }
-        /// With a difference that makes another document than the leader's.
+        /// Applying the answer's difference gave another document than the leader has.
         DigestMismatch(version: u64) {
-            display("applying an answer: its difference makes another configuration {} than the leader's", version)
+            display(
+                "watch answer not applied: its difference gives another configuration {} than the leader's (digests \
+                 differ)",
+                version
+            )
         }
     }
 }
 
-/// What one watcher holds. Terms, numbers and versions only rise in its life.
+/// What one watcher has received. Terms, sequence numbers and versions never decrease during its lifetime.
 #[derive(Debug, Clone, Default)]
 pub struct WatchCache {
     catalog: Rc<Catalog>,
     term: u64,
     seq: u64,
-    /// A leader that knew all lives told them all.
+    /// A leader with a complete server table has sent all of it.
     complete: bool,
-    /// Term of the leader that told them last.
-    whole_term: u64,
-    /// Newest last, at most [`MOST_GONE`].
-    gone: VecDeque<Rc<str>>,
-    /// Of the configuration held.
+    /// Term of the leader that last sent its complete server table.
+    full_table_term: u64,
+    /// Ids of removed server instances, newest last, at most [`MAX_RECENTLY_REMOVED`].
+    recently_removed: VecDeque<Rc<str>>,
+    /// Digest of the current configuration.
     digest: DocumentDigest,
-    /// A difference didn't fit: the configuration is to be told whole.
-    whole_config: bool,
+    /// The next call must request the full configuration, because a difference gave a wrong document.
+    needs_full_config: bool,
 }
 
 impl WatchCache {
-    /// One that holds nothing.
+    /// An empty cache.
     pub fn new() -> WatchCache {
         WatchCache::default()
     }
 
-    /// The present snapshot.
+    /// The current snapshot.
     pub fn catalog(&self) -> Rc<Catalog> {
         self.catalog.clone()
     }
@@ -188,22 +198,23 @@
         self.term
     }
 
-    /// Number of the answer that was applied last.
+    /// Sequence number of the answer that was applied last.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// A leader that knew all lives has told them all: no life is missing for want of a beat.
+    /// Whether a leader with a complete server table has sent all of it. Otherwise servers may be missing that have not
+    /// yet sent a heartbeat to their leader.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Lives that went lately, oldest first: a late beat must not bring them back.
-    pub(crate) fn gone(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.gone.iter()
+    /// Ids of recently removed server instances, oldest first: a delayed heartbeat must not register them again.
+    pub(crate) fn recently_removed(&self) -> impl Iterator<Item = &Rc<str>> {
+        self.recently_removed.iter()
     }
 
-    /// All that is held but the configuration, as the answer that makes a copy of it.
+    /// The whole catalog except for the configuration, as a watch answer from which another cache can be filled.
     pub fn to_answer(&self) -> WatchAnswer {
         let catalog = &self.catalog;
         WatchAnswer {
@@ -215,13 +226,13 @@
             gateways: Some(catalog.gateway_count),
             core: Some(catalog.core_hosts.to_vec()),
             roster: Some(catalog.roster.to_vec()),
-            trials: (!catalog.trials.is_empty()).then(|| catalog.trials.iter().map(line).collect()),
+            trials: (!catalog.trials.is_empty()).then(|| catalog.trials.iter().map(trial_line).collect()),
             ..WatchAnswer::default()
         }
     }
 
-    /// The call that asks for what is new. `line` is to be set in the first call on each new connection, to each new
-    /// leader, and whenever it changed.
+    /// The call that requests everything newer than this cache. The caller must set `line` in the first call on each
+    /// new connection, in the first call to each new leader, and whenever the line changed.
     pub fn watch_call(
         &self,
         who: Caller,
@@ -237,49 +248,54 @@
             line,
             term: self.term,
             seq: self.seq,
-            version: if self.whole_config { 0 } else { self.catalog.version() },
+            version: if self.needs_full_config { 0 } else { self.catalog.version() },
             wait_ms,
             directory: false,
             differences: true,
             roster_differences: true,
-            told_whole: self.term > 0 && self.whole_term == self.term,
+            told_whole: self.term > 0 && self.full_table_term == self.term,
             diverged: false,
         }
     }
 
-    /// The configuration that an answer leads to, with its digest; `None`: it has none that is news.
-    fn config_of(
+    /// The configuration that results from an answer, with its digest; `None`: the answer has no newer one.
+    fn newer_config(
         &self,
         answer: &mut WatchAnswer,
     ) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, ApplyError> {
-        let held = self.catalog.version();
+        let current = self.catalog.version();
         if let Some(change) = answer.change.take() {
-            return self.changed(&change);
+            return self.config_after(&change);
         }
         let Some(config) = answer.config.take() else { return Ok(None) };
-        if config.version < held {
-            return Err(ApplyError::StaleConfig(held, config.version));
+        if config.version < current {
+            return Err(ApplyError::StaleConfig(current, config.version));
         }
-        if config.version == held && !self.whole_config {
+        if config.version == current && !self.needs_full_config {
             return Ok(None);
         }
         let digest = DocumentDigest::of(&config.doc);
         Ok(Some((config, digest)))
     }
 
-    fn changed(&self, change: &ConfigChange) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, ApplyError> {
+    /// The configuration that results from a difference, with its digest; `None`: it is not newer.
+    fn config_after(
+        &self,
+        change: &ConfigChange,
+    ) -> Result<Option<(Rc<ConfigLine>, DocumentDigest)>, ApplyError> {
         let version = self.catalog.version();
         if change.version < version {
             return Err(ApplyError::StaleConfig(version, change.version));
         }
-        // Another answer was faster.
-        if change.version == version && !self.whole_config {
+        // Another answer with this version arrived earlier.
+        if change.version == version && !self.needs_full_config {
             return Ok(None);
         }
-        let held =
-            self.catalog.config.as_ref().filter(|held| held.version == change.from && !self.whole_config);
-        let Some(held) = held else { return Err(ApplyError::BaseMismatch(version, change.from)) };
-        let mut doc = held.doc.clone();
+        let usable_base = |base: &&Rc<ConfigLine>| base.version == change.from && !self.needs_full_config;
+        let Some(base) = self.catalog.config.as_ref().filter(usable_base) else {
+            return Err(ApplyError::BaseMismatch(version, change.from));
+        };
+        let mut doc = base.doc.clone();
         let digest = change.difference.apply(&mut doc, self.digest);
         if digest != change.digest {
             return Err(ApplyError::DigestMismatch(change.version));
@@ -287,127 +303,136 @@
         Ok(Some((Rc::new(ConfigLine { version: change.version, doc }), digest)))
     }
 
-    /// Takes an answer to a call made by [`WatchCache::watch_call`]; nothing changes where it is refused, but that the next call asks for
-    /// the whole configuration where a difference didn't fit.
+    /// Applies an answer to a call made by [`WatchCache::watch_call`]. An answer that is refused changes nothing, except
+    /// that after [`ApplyError::DigestMismatch`] the next call requests the full configuration.
     pub fn apply(&mut self, mut answer: WatchAnswer) -> Result<CatalogUpdate, ApplyError> {
         if answer.term < self.term {
             return Err(ApplyError::StaleTerm(self.term, answer.term));
         }
-        let turn = answer.term > self.term;
-        if !turn && answer.seq < self.seq {
+        let new_leader = answer.term > self.term;
+        if !new_leader && answer.seq < self.seq {
             return Err(ApplyError::StaleSeq(self.seq, answer.seq));
         }
-        let config = self.config_of(&mut answer).inspect_err(|refused| {
-            self.whole_config |= matches!(refused, ApplyError::DigestMismatch(_));
+        let config = self.newer_config(&mut answer).inspect_err(|error| {
+            self.needs_full_config |= matches!(error, ApplyError::DigestMismatch(_));
         })?;
-        let mut applied = CatalogUpdate { new_leader: turn, ..CatalogUpdate::default() };
+        let mut update = CatalogUpdate { new_leader, ..CatalogUpdate::default() };
         let mut catalog = Catalog::clone(&self.catalog);
-        let mut withdrawn = BTreeSet::new();
+        let mut reopened_zones = BTreeSet::new();
         if let Some(zones) = answer.evacuated {
             let zones: BTreeSet<String> = zones.into_iter().collect();
             if zones != *catalog.evacuated_zones {
-                withdrawn = catalog.evacuated_zones.difference(&zones).cloned().collect();
+                reopened_zones = catalog.evacuated_zones.difference(&zones).cloned().collect();
                 catalog.evacuated_zones = Rc::new(zones);
-                applied.evacuated = true;
+                update.evacuated = true;
             }
         }
-        if turn
+        if new_leader
             || answer.whole
             || !answer.servers.is_empty()
             || !answer.gone.is_empty()
-            || !withdrawn.is_empty()
+            || !reopened_zones.is_empty()
         {
-            let fresh = Fresh { lines: answer.servers, gone: answer.gone, whole: answer.whole, turn };
-            catalog.servers = Rc::new(fresh.over(&catalog.servers, &withdrawn, &mut applied));
+            let changes = ServerChanges {
+                lines: answer.servers,
+                removed: answer.gone,
+                full_table: answer.whole,
+                new_leader,
+            };
+            catalog.servers = Rc::new(changes.apply_to(&catalog.servers, &reopened_zones, &mut update));
         }
         if let Some((config, digest)) = config {
             catalog.config = Some(config);
-            (self.digest, self.whole_config) = (digest, false);
-            applied.config = true;
+            (self.digest, self.needs_full_config) = (digest, false);
+            update.config = true;
         }
         if let Some(count) = answer.gateways.filter(|count| *count != catalog.gateway_count) {
             catalog.gateway_count = count;
-            applied.gateways = true;
+            update.gateways = true;
         }
         if let Some(hosts) = answer.core.filter(|hosts| *hosts != *catalog.core_hosts) {
             catalog.core_hosts = Rc::new(hosts);
-            applied.core = true;
+            update.core = true;
         }
-        let change = answer.roster_change.map(|change| roster::changed(&catalog.roster, change));
-        if let Some(roster) = answer.roster.or(change).filter(|roster| *roster != *catalog.roster) {
+        let changed_roster = answer.roster_change.map(|change| roster::apply_change(&catalog.roster, change));
+        if let Some(roster) = answer.roster.or(changed_roster).filter(|roster| *roster != *catalog.roster) {
             catalog.roster = Rc::new(roster);
-            applied.roster = true;
+            update.roster = true;
         }
-        // A leader's log has all steps that any leader told: a lower one is from an answer that was overtaken.
-        let higher =
+        // Every leader's log contains all steps that any leader has published, so a lower step comes from an answer
+        // that was overtaken by a newer one.
+        let is_newer =
             |line: &TrialLine| catalog.trials.get(&line.tenant).is_none_or(|(step, _)| line.step > *step);
-        applied.trials = answer.trials.into_iter().flatten().filter(higher).collect();
-        if !applied.trials.is_empty() {
-            let news = applied.trials.iter().map(|line| (line.tenant.clone(), (line.step, line.stage)));
+        update.trials = answer.trials.into_iter().flatten().filter(is_newer).collect();
+        if !update.trials.is_empty() {
+            let newer = update.trials.iter().map(|line| (line.tenant.clone(), (line.step, line.stage)));
             catalog.trials = Rc::new(
-                catalog.trials.iter().map(|(name, held)| (name.clone(), *held)).chain(news).collect(),
+                catalog.trials.iter().map(|(name, trial)| (name.clone(), *trial)).chain(newer).collect(),
             );
         }
-        self.gone.retain(|id| !catalog.servers.contains_key(id));
-        self.gone.extend(applied.removed_servers.iter().cloned());
-        let surplus = self.gone.len().saturating_sub(MOST_GONE);
-        self.gone.drain(..surplus);
+        self.recently_removed.retain(|id| !catalog.servers.contains_key(id));
+        self.recently_removed.extend(update.removed_servers.iter().cloned());
+        let surplus = self.recently_removed.len().saturating_sub(MAX_RECENTLY_REMOVED);
+        self.recently_removed.drain(..surplus);
         self.term = answer.term;
         self.seq = answer.seq;
         self.complete |= answer.whole;
         if answer.whole {
-            self.whole_term = answer.term;
+            self.full_table_term = answer.term;
         }
-        if applied.has_changes() {
+        if update.has_changes() {
             self.catalog = Rc::new(catalog);
         }
-        Ok(applied)
+        Ok(update)
     }
 }
 
-fn line((tenant, (step, stage)): (&String, &(u64, u32))) -> TrialLine {
+fn trial_line((tenant, (step, stage)): (&String, &(u64, u32))) -> TrialLine {
     TrialLine { tenant: tenant.clone(), step: *step, stage: *stage, in_ms: 0 }
 }
 
-/// The servers' part of an answer.
-struct Fresh {
+/// The part of an answer that concerns servers.
+struct ServerChanges {
     lines: Vec<ServerLine>,
-    gone: Vec<String>,
-    whole: bool,
-    /// It is the first of a new leader.
-    turn: bool,
+    removed: Vec<String>,
+    /// `lines` is the complete table, not a difference.
+    full_table: bool,
+    /// This is the first answer of a new leader.
+    new_leader: bool,
 }
 
-impl Fresh {
-    /// The table that results from this part over the one held.
-    fn over(
+impl ServerChanges {
+    /// The server table that results from applying these changes to `current`.
+    fn apply_to(
         self,
-        held: &BTreeMap<Rc<str>, Rc<ServerLine>>,
-        withdrawn: &BTreeSet<String>,
-        applied: &mut CatalogUpdate,
+        current: &BTreeMap<Rc<str>, Rc<ServerLine>>,
+        reopened_zones: &BTreeSet<String>,
+        update: &mut CatalogUpdate,
     ) -> BTreeMap<Rc<str>, Rc<ServerLine>> {
-        let mut table = if self.whole { BTreeMap::new() } else { held.clone() };
-        for id in &self.gone {
+        let mut table = if self.full_table { BTreeMap::new() } else { current.clone() };
+        for id in &self.removed {
             table.remove(id.as_str());
         }
-        // A leader that has no copy tells what it learns from beats, over what is held: the permits of the leader before
-        // have ended, and where an evacuation ends it can't name all lives that may be cold until they beat.
-        if !self.whole {
+        // A leader that started without a cache publishes what it receives in heartbeats, and its answers are applied on
+        // top of the current table. The permits of the previous leader have ended by then. When an evacuation ends, such
+        // a leader can't name all servers that may be cold until they have sent a heartbeat.
+        if !self.full_table {
             for line in table.values_mut() {
-                let lent = line.cold.as_ref().is_some_and(|holder| !holder.is_empty());
-                if self.turn && lent || withdrawn.contains(&line.zone) {
-                    let barred = ServerLine { cold: Some(String::new()), ..ServerLine::clone(line) };
-                    *line = Rc::new(barred);
+                let has_permit_holder = line.cold.as_ref().is_some_and(|holder| !holder.is_empty());
+                if self.new_leader && has_permit_holder || reopened_zones.contains(&line.zone) {
+                    let without_permit = ServerLine { cold: Some(String::new()), ..ServerLine::clone(line) };
+                    *line = Rc::new(without_permit);
                 }
             }
         }
         for mut line in self.lines {
-            let known = held.get_key_value(line.id.as_str());
-            // A new leader's copy may lag behind what the old one told: a server doesn't come back from draining.
-            if self.turn && known.is_some_and(|(_, old)| old.state == ServerState::Draining) {
+            let previous = current.get_key_value(line.id.as_str());
+            // The cache from which a new leader started may be older than the last answer of the old leader. A server
+            // never returns from draining that way.
+            if self.new_leader && previous.is_some_and(|(_, old)| old.state == ServerState::Draining) {
                 line.state = ServerState::Draining;
             }
-            let (id, line) = match known {
+            let (id, line) = match previous {
                 Some((id, old)) if **old == line => (id.clone(), old.clone()),
                 Some((id, _)) => (id.clone(), Rc::new(line)),
                 None => (Rc::from(line.id.as_str()), Rc::new(line)),
@@ -415,11 +440,11 @@
             table.insert(id, line);
         }
         for (id, line) in &table {
-            if !held.get(id).is_some_and(|old| Rc::ptr_eq(old, line) || old == line) {
-                applied.servers.push(id.clone());
+            if !current.get(id).is_some_and(|old| Rc::ptr_eq(old, line) || old == line) {
+                update.servers.push(id.clone());
             }
         }
-        applied.removed_servers.extend(held.keys().filter(|id| !table.contains_key(*id)).cloned());
+        update.removed_servers.extend(current.keys().filter(|id| !table.contains_key(*id)).cloned());
         table
     }
 }
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,99 +1,101 @@
-//! Which gateways a client is told of.
+//! Which gateways the directory lists for a client.
 
 use nickeljunction_messages::GatewayLine;
 use std::collections::BTreeMap;
 
-/// Most addresses that an answer may hold.
+/// Upper bound for the number of addresses in an answer.
 pub const MAX_ADDRESSES: usize = 64;
 
-/// Fewest addresses worth telling: a client whose only gateway dies finds another one without asking again.
-const FEWEST: usize = 2;
+/// Number of addresses to reach where possible: a client whose only gateway fails needs another one without a new query.
+const MIN_ADDRESSES: usize = 2;
 
-/// Who asks for the gateways of a host.
+/// The client that queries the gateways of a host.
 #[derive(Debug, Clone, Copy)]
 pub struct Client<'a> {
-    /// Its region, which counts where its zone is not known.
+    /// The client's region, used if its zone is not known.
     pub region: &'a str,
-    /// Its zone.
+    /// The client's zone.
     pub zone: &'a str,
-    /// Regions that are a home of each of the host's routes with homes: those beside its own to which the client may be led.
-    /// `None`: no route of the host has homes, and it may be led anywhere.
+    /// Regions that are a home of every route of the host that has homes. Besides its own region the client may be sent
+    /// only to these. `None`: no route of the host has homes, and the client may be sent to any region.
     pub homes: Option<&'a [String]>,
 }
 
-/// Addresses of the gateways that a client should use, near ones first, at most [`MAX_ADDRESSES`].
+/// Addresses of the gateways that a client should use, at most [`MAX_ADDRESSES`], near ones first.
 ///
-/// Clients pick by chance among all of them, so that a far one takes as much as a near one: only the nearest tier that
-/// holds any is listed (zone, region, elsewhere), topped up to two from the next. `zones` gives each zone's region;
-/// `dice` draws whom to take for it.
+/// Clients choose at random among all of them, so a far gateway would receive as many requests as a near one. Therefore
+/// only the nearest tier (zone, region, elsewhere) that has any gateway is listed, topped up from the next tiers to two
+/// addresses. `zones` gives the region of each zone; `seed` determines the random choice within a tier.
 ///
-/// A gateway counts elsewhere only if the client may be led to its region. Where none that counts is ready, all of the own
-/// region are listed: a request must not leave its region because the directory knew no better. Only where that has none at
-/// all are others listed, ready ones first.
+/// A gateway elsewhere is eligible only if the client may be sent to its region. If no eligible gateway is ready, all
+/// gateways of the client's region are listed: a request must not leave its region only because the directory's data was
+/// outdated. Gateways of other regions, ready ones first, are listed only if the client's region has no gateway at all.
 pub fn nearby_gateways(
     roster: &[GatewayLine],
     client: &Client<'_>,
     zones: &BTreeMap<String, String>,
-    dice: u64,
+    seed: u64,
 ) -> Vec<String> {
-    let mut dice = Dice(dice);
-    let (own, others) = split(roster, client, zones);
+    let mut rng = Rng(seed);
+    let (own_region, other_regions) = split_by_region(roster, client, zones);
     let ready = |line: &&&GatewayLine| line.ready;
     let allowed = |line: &&&GatewayLine| {
         let region = zones.get(&line.zone);
         client.homes.is_none_or(|homes| region.is_some_and(|region| homes.contains(region)))
     };
-    let near = own.iter().filter(ready).partition::<Vec<_>, _>(|line| line.zone == client.zone);
-    let far: Vec<&GatewayLine> = others.iter().filter(ready).filter(allowed).copied().collect();
-    let mut listed = Vec::new();
-    for tier in [near.0, near.1, far] {
-        let most = if listed.is_empty() { MAX_ADDRESSES } else { FEWEST.saturating_sub(listed.len()) };
-        add(&mut listed, tier, most, &mut dice);
+    let (same_zone, same_region) =
+        own_region.iter().filter(ready).partition::<Vec<_>, _>(|line| line.zone == client.zone);
+    let elsewhere: Vec<&GatewayLine> = other_regions.iter().filter(ready).filter(allowed).copied().collect();
+    let mut addresses = Vec::new();
+    for tier in [same_zone, same_region, elsewhere] {
+        let limit =
+            if addresses.is_empty() { MAX_ADDRESSES } else { MIN_ADDRESSES.saturating_sub(addresses.len()) };
+        add_tier(&mut addresses, tier, limit, &mut rng);
     }
-    if !listed.is_empty() {
-        return listed;
+    if !addresses.is_empty() {
+        return addresses;
     }
-    let unready = own.iter().partition::<Vec<_>, _>(|line| line.zone == client.zone);
-    let far = others.iter().partition::<Vec<_>, _>(|line| line.ready);
-    for tiers in [[unready.0, unready.1], [far.0, Vec::new()], [far.1, Vec::new()]] {
+    let (same_zone, same_region) = own_region.iter().partition::<Vec<_>, _>(|line| line.zone == client.zone);
+    let (ready, not_ready) = other_regions.iter().partition::<Vec<_>, _>(|line| line.ready);
+    for tiers in [[same_zone, same_region], [ready, Vec::new()], [not_ready, Vec::new()]] {
         for tier in tiers {
-            let most = MAX_ADDRESSES - listed.len();
-            add(&mut listed, tier, most, &mut dice);
+            let limit = MAX_ADDRESSES - addresses.len();
+            add_tier(&mut addresses, tier, limit, &mut rng);
         }
-        if !listed.is_empty() {
+        if !addresses.is_empty() {
             break;
         }
     }
-    listed
+    addresses
 }
 
-/// The gateways of the client's own region, and all others.
-fn split<'a>(
+/// The gateways of the client's region, and all others.
+fn split_by_region<'a>(
     roster: &'a [GatewayLine],
     client: &Client<'_>,
     zones: &BTreeMap<String, String>,
 ) -> (Vec<&'a GatewayLine>, Vec<&'a GatewayLine>) {
-    let region = zones.get(client.zone).map_or(client.region, String::as_str);
-    let own = |line: &&GatewayLine| {
-        line.zone == client.zone || zones.get(&line.zone).is_some_and(|there| there == region)
+    let client_region = zones.get(client.zone).map_or(client.region, String::as_str);
+    let in_own_region = |line: &&GatewayLine| {
+        line.zone == client.zone || zones.get(&line.zone).is_some_and(|region| region == client_region)
     };
-    roster.iter().partition(own)
+    roster.iter().partition(in_own_region)
 }
 
-/// Lists `most` gateways of a tier, in a drawn order.
-fn add(listed: &mut Vec<String>, mut tier: Vec<&GatewayLine>, most: usize, dice: &mut Dice) {
-    dice.shuffle(&mut tier);
-    for line in tier.into_iter().take(most) {
-        if !listed.contains(&line.front) {
-            listed.push(line.front.clone());
+/// Adds the addresses of at most `limit` gateways of a tier, in random order.
+fn add_tier(addresses: &mut Vec<String>, mut tier: Vec<&GatewayLine>, limit: usize, rng: &mut Rng) {
+    rng.shuffle(&mut tier);
+    for line in tier.into_iter().take(limit) {
+        if !addresses.contains(&line.front) {
+            addresses.push(line.front.clone());
         }
     }
 }
 
-/// SplitMix64: enough for a fair draw.
-struct Dice(u64);
+/// SplitMix64, which is uniform enough for a fair choice.
+struct Rng(u64);
 
-impl Dice {
+impl Rng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -123,73 +125,99 @@
             .into()
     }
 
-    fn ask(roster: &[GatewayLine], zone: &str, dice: u64) -> Vec<String> {
-        ask_for(None, roster, zone, dice)
+    fn addresses(roster: &[GatewayLine], zone: &str, seed: u64) -> Vec<String> {
+        addresses_with_homes(None, roster, zone, seed)
     }
 
-    fn ask_for(homes: Option<&[&str]>, roster: &[GatewayLine], zone: &str, dice: u64) -> Vec<String> {
+    fn addresses_with_homes(
+        homes: Option<&[&str]>,
+        roster: &[GatewayLine],
+        zone: &str,
+        seed: u64,
+    ) -> Vec<String> {
         let homes = homes.map(|homes| homes.iter().map(|home| home.to_string()).collect::<Vec<_>>());
         let client = Client { region: "a", zone, homes: homes.as_deref() };
-        nearby_gateways(roster, &client, &zones(), dice)
+        nearby_gateways(roster, &client, &zones(), seed)
     }
 
     #[test]
-    fn the_own_zone_is_enough_where_two_are_ready() {
+    fn two_ready_gateways_of_the_clients_zone_are_sufficient() {
         let roster =
             [line("p", "a1", true), line("q", "a1", true), line("r", "a2", true), line("s", "b1", true)];
-        for dice in 0..20 {
-            let mut listed = ask(&roster, "a1", dice);
+        for seed in 0..20 {
+            let mut listed = addresses(&roster, "a1", seed);
             listed.sort();
-            assert_eq!(listed, ["p:80", "q:80"], "dice {dice}");
+            assert_eq!(listed, ["p:80", "q:80"], "seed {seed}");
         }
     }
 
     #[test]
-    fn a_lone_gateway_is_joined_by_one_of_the_region_and_each_gets_its_turn() {
+    fn a_single_gateway_of_the_zone_is_topped_up_by_a_random_one_of_the_region() {
         let roster =
             [line("p", "a1", true), line("q", "a2", true), line("r", "a2", true), line("s", "b1", true)];
-        let seen: std::collections::BTreeSet<_> = (0..40).map(|dice| ask(&roster, "a1", dice)).collect();
+        let results: std::collections::BTreeSet<_> =
+            (0..40).map(|seed| addresses(&roster, "a1", seed)).collect();
         let expected = [["p:80", "q:80"], ["p:80", "r:80"]].map(|pair| pair.map(String::from).to_vec());
-        assert_eq!(seen, expected.into());
+        assert_eq!(results, expected.into());
     }
 
     #[test]
-    fn what_leaves_is_not_listed_unless_nothing_is_ready() {
+    fn gateways_that_are_not_ready_are_listed_only_if_none_is_ready() {
         let mut roster = vec![line("p", "a1", false), line("q", "a2", false), line("s", "b1", true)];
-        assert_eq!(ask(&roster, "a1", 1), ["s:80"]);
+        assert_eq!(addresses(&roster, "a1", 1), ["s:80"]);
         roster[2].ready = false;
-        assert_eq!(ask(&roster, "a1", 1), ["p:80", "q:80"], "near ones first, though not ready");
-        assert_eq!(ask(&roster[2..], "a1", 1), ["s:80"]);
+        assert_eq!(
+            addresses(&roster, "a1", 1),
+            ["p:80", "q:80"],
+            "the client's region comes first even if its gateways are not ready"
+        );
+        assert_eq!(addresses(&roster[2..], "a1", 1), ["s:80"]);
         let far: Vec<_> = (0..100).map(|n| line(&format!("g{n}"), "b1", true)).collect();
-        assert_eq!(ask(&far, "a1", 3).len(), MAX_ADDRESSES);
-        assert_eq!(ask(&[], "a1", 3), Vec::<String>::new());
+        assert_eq!(addresses(&far, "a1", 3).len(), MAX_ADDRESSES);
+        assert_eq!(addresses(&[], "a1", 3), Vec::<String>::new());
     }
 
     #[test]
-    fn no_client_is_led_to_a_region_that_is_neither_its_own_nor_a_home() {
+    fn clients_are_sent_only_to_their_own_region_or_to_home_regions() {
         let roster = ["a1", "b1", "c1"].map(|zone| line(zone, zone, true));
         assert_eq!(
-            ask_for(Some(&["a"]), &roster, "a1", 1),
+            addresses_with_homes(Some(&["a"]), &roster, "a1", 1),
             ["a1:80"],
-            "a lone one is not joined by a far one"
+            "a single gateway is not topped up from a region that is no home"
+        );
+        assert_eq!(
+            addresses_with_homes(Some(&["b"]), &roster, "a1", 1),
+            ["a1:80", "b1:80"],
+            "topped up from a home region only"
         );
-        assert_eq!(ask_for(Some(&["b"]), &roster, "a1", 1), ["a1:80", "b1:80"], "nor by one of no home");
         let roster =
             [line("p", "a1", false), line("q", "a2", false), line("s", "b1", true), line("t", "c1", true)];
-        assert_eq!(ask_for(Some(&["c"]), &roster, "a1", 1), ["t:80"], "a home's are ready");
-        assert_eq!(ask_for(Some(&["a"]), &roster, "a1", 1), ["p:80", "q:80"], "the own, though not ready");
         assert_eq!(
-            ask_for(Some(&[]), &roster, "a1", 1),
+            addresses_with_homes(Some(&["c"]), &roster, "a1", 1),
+            ["t:80"],
+            "a home region has a ready gateway"
+        );
+        assert_eq!(
+            addresses_with_homes(Some(&["a"]), &roster, "a1", 1),
+            ["p:80", "q:80"],
+            "gateways of the own region, though none is ready"
+        );
+        assert_eq!(
+            addresses_with_homes(Some(&[]), &roster, "a1", 1),
             ["p:80", "q:80"],
-            "homes that have nothing in common"
+            "the routes have no common home"
+        );
+        assert_eq!(
+            addresses_with_homes(Some(&["a"]), &roster[2..3], "a1", 1),
+            ["s:80"],
+            "the own region has no gateway at all"
         );
-        assert_eq!(ask_for(Some(&["a"]), &roster[2..3], "a1", 1), ["s:80"], "there is no other");
     }
 
     #[test]
-    fn a_zone_that_nobody_knows_goes_by_the_region() {
+    fn an_unknown_zone_falls_back_to_the_clients_region() {
         let roster = [line("p", "a1", true), line("q", "a2", true), line("s", "b1", true)];
-        let mut listed = ask(&roster, "a9", 5);
+        let mut listed = addresses(&roster, "a9", 5);
         listed.sort();
         assert_eq!(listed, ["p:80", "q:80"]);
     }
--- a/crates/registry/src/gateways.rs
+++ b/crates/registry/src/gateways.rs
@@ -1,211 +1,229 @@
-//! Which gateways there are, by their watch calls.
+//! Which gateways exist, as far as their watch calls show.
 
-use crate::register::{Numbering, Tuning};
+use crate::register::{Sequence, Tuning};
 use crate::roster::Roster;
 use nickeljunction_messages::{GatewayLine, WatchCall};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Replaced lives that are remembered: their late calls say nothing. Far more than restart within a call's time.
-const MOST_REPLACED: usize = 256;
+/// Replaced processes that are remembered, so that their delayed calls are ignored. Far more than the gateways that
+/// restart while one call is on its way.
+const MAX_REPLACED: usize = 256;
 
-/// Longest hold of a call that is believed, ms: a caller can't make itself count as alive for longer.
-const MOST_WAIT_MS: u64 = 10_000;
+/// Upper bound for the hold time that a call may announce, ms. A gateway can't make itself count as alive for longer.
+const MAX_WAIT_MS: u64 = 10_000;
 
-/// Who called.
+/// What came of a watch call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A gateway that is known, or is from now on.
+    /// The caller is a registered gateway, possibly since this call.
     Accepted,
-    /// A life that another one of the same name has replaced: nothing was noted.
+    /// The caller was replaced by another process of the same name; the call was ignored.
     ReplacedProcess,
-    /// Its line is unknown, so that the directory can't name it: it must call again with its line.
+    /// The gateway's line is unknown, so that the directory can't list it: it must call again with its line.
     MissingLine,
-    /// Another core member.
+    /// The caller is another core member.
     CoreMember,
 }
 
-/// How a gateway stands, for operators.
+/// The status of a gateway, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GatewayStatus {
     /// As published.
     pub line: GatewayLine,
-    /// Version of the configuration that it had at its last call; `None`: it has not called this leader yet.
+    /// Version of the configuration that the gateway had at its last call; `None`: it has not called this leader yet.
     pub version: Option<u64>,
-    /// It was last surely there so long ago, ms; `None`: it is there.
+    /// Time since the gateway was last known to be connected, ms; `None`: it is connected.
     pub away_ms: Option<u64>,
 }
 
-/// One gateway, by the name of its machine.
+/// One gateway, identified by the name of its machine.
 #[derive(Debug)]
 struct Gateway {
-    /// `None`: known from a copy, which doesn't tell it.
+    /// Identifies the gateway's process. `None`: the gateway was taken over from a cache, which doesn't contain it.
     life: Option<u64>,
     line: Option<GatewayLine>,
-    /// Its call is held, or the next one is due, until then.
-    until: u64,
-    /// Since when its watch connection is broken.
-    broken: Option<u64>,
-    /// Number up to which it has what was told, in the own term.
-    has: u64,
+    /// Until then the gateway's call is held, or its next call is on its way.
+    expected_until: u64,
+    /// When the gateway's watch connection broke.
+    disconnected_at: Option<u64>,
+    /// Highest sequence number of this term up to which the gateway has everything.
+    acknowledged_seq: u64,
     /// Version of the configuration that its last call named.
     version: Option<u64>,
 }
 
 impl Gateway {
-    /// Last moment at which it was surely there.
-    fn there_until(&self) -> u64 {
-        self.broken.map_or(self.until, |at| at.min(self.until))
+    /// Last time at which the gateway was known to be connected.
+    fn connected_until(&self) -> u64 {
+        self.disconnected_at.map_or(self.expected_until, |at| at.min(self.expected_until))
     }
 
-    fn standing(&self, now: u64) -> Option<GatewayStatus> {
-        let line = GatewayLine { ready: self.ready(now), ..self.line.clone()? };
-        let away_ms = now.checked_sub(self.there_until());
+    fn status(&self, now: u64) -> Option<GatewayStatus> {
+        let line = GatewayLine { ready: self.is_ready(now), ..self.line.clone()? };
+        let away_ms = now.checked_sub(self.connected_until());
         Some(GatewayStatus { line, version: self.version, away_ms })
     }
 
-    fn ready(&self, now: u64) -> bool {
-        self.line.as_ref().is_some_and(|line| line.ready) && now < self.there_until()
+    fn is_ready(&self, now: u64) -> bool {
+        self.line.as_ref().is_some_and(|line| line.ready) && now < self.connected_until()
     }
 }
 
 /// All gateways.
 #[derive(Debug)]
 pub(crate) struct Gateways {
-    known: BTreeMap<String, Gateway>,
+    by_name: BTreeMap<String, Gateway>,
+    /// Name and `life` of processes that were replaced by a newer one.
     replaced: VecDeque<(String, u64)>,
     roster: Roster,
     count: u32,
-    /// Number of the count's last change.
-    count_at: u64,
-    /// The copy's count and until when it is held: gateways that didn't reach this leader yet count.
-    floor: (u32, u64),
+    /// Sequence number of the count's last change.
+    count_seq: u64,
+    min_count: MinCount,
+}
+
+/// A lower bound for the number of gateways after a take-over: gateways that have not reached this leader yet count, too.
+#[derive(Debug)]
+struct MinCount {
+    count: u32,
+    until: u64,
 }
 
 impl Gateways {
-    /// From a copy: all of its gateways count as heard now.
+    /// Starts from a cache, whose gateways count as connected now.
     pub(crate) fn new(
         now: u64,
         tuning: &Tuning,
         roster: &[GatewayLine],
         count: u32,
-        numbers: &mut Numbering,
+        sequence: &mut Sequence,
     ) -> Gateways {
-        let heard = |line: &GatewayLine| Gateway {
+        let from_cache = |line: &GatewayLine| Gateway {
             life: None,
             line: Some(line.clone()),
-            until: now + tuning.takeover_ms,
-            broken: None,
-            has: 0,
+            expected_until: now + tuning.takeover_ms,
+            disconnected_at: None,
+            acknowledged_seq: 0,
             version: None,
         };
-        let known = roster.iter().map(|line| (line.name.clone(), heard(line))).collect();
+        let by_name = roster.iter().map(|line| (line.name.clone(), from_cache(line))).collect();
         let mut gateways = Gateways {
-            known,
+            by_name,
             replaced: VecDeque::new(),
-            roster: Roster::new(numbers),
+            roster: Roster::new(sequence),
             count: 0,
-            count_at: numbers.next(),
-            floor: (count, now + tuning.gateway_alive_ms),
+            count_seq: sequence.next(),
+            min_count: MinCount { count, until: now + tuning.gateway_alive_ms },
         };
-        gateways.refresh(now, tuning, numbers);
+        gateways.refresh(now, tuning, sequence);
         gateways
     }
 
-    /// A watch call came. `has`: what the caller has of the own term.
-    pub(crate) fn called(
+    /// Records a watch call. `acknowledged_seq` is the sequence number of this term up to which the caller has
+    /// everything.
+    pub(crate) fn record_call(
         &mut self,
         now: u64,
         tuning: &Tuning,
         call: &WatchCall,
-        has: u64,
-        numbers: &mut Numbering,
+        acknowledged_seq: u64,
+        sequence: &mut Sequence,
     ) -> CallOutcome {
         if self.replaced.iter().any(|(name, life)| *name == call.name && *life == call.life) {
             return CallOutcome::ReplacedProcess;
         }
-        let until = now + call.wait_ms.min(MOST_WAIT_MS) + tuning.gateway_slack_ms;
-        let gateway = self.known.entry(call.name.clone()).or_insert_with(|| Gateway {
+        let expected_until = now + call.wait_ms.min(MAX_WAIT_MS) + tuning.gateway_slack_ms;
+        let gateway = self.by_name.entry(call.name.clone()).or_insert_with(|| Gateway {
             life: None,
             line: None,
-            until,
-            broken: None,
-            has,
+            expected_until,
+            disconnected_at: None,
+            acknowledged_seq,
             version: None,
         });
         match gateway.life {
             Some(life) if life != call.life => {
-                // Lives are drawn by chance and say nothing of their order: the one that tells its line, as each does at
-                // its start, replaces the other.
+                // The ids of processes are random and have no order. Each process sends its line when it starts, so the
+                // one that sends it replaces the other.
                 if call.line.is_none() {
                     return CallOutcome::MissingLine;
                 }
                 self.replaced.push_back((call.name.clone(), life));
-                if self.replaced.len() > MOST_REPLACED {
+                if self.replaced.len() > MAX_REPLACED {
                     self.replaced.pop_front();
                 }
-                gateway.has = has;
+                gateway.acknowledged_seq = acknowledged_seq;
             }
-            _ => gateway.has = gateway.has.max(has),
+            _ => gateway.acknowledged_seq = gateway.acknowledged_seq.max(acknowledged_seq),
         }
-        let was_ready = gateway.ready(now);
-        // One that asks beside a call that is held is there for as long as that one is.
-        let same = gateway.life == Some(call.life);
-        gateway.until = if same { gateway.until.max(until) } else { until };
+        let was_ready = gateway.is_ready(now);
+        // While another call of the same process is held for longer, the process stays connected as long as that one.
+        let same_process = gateway.life == Some(call.life);
+        gateway.expected_until =
+            if same_process { gateway.expected_until.max(expected_until) } else { expected_until };
         gateway.life = Some(call.life);
         gateway.version = Some(call.version);
-        gateway.broken = None;
-        let mut changed = false;
+        gateway.disconnected_at = None;
+        let mut line_changed = false;
         if let Some(line) = &call.line {
-            changed = gateway.line.as_ref() != Some(line);
-            if changed {
+            line_changed = gateway.line.as_ref() != Some(line);
+            if line_changed {
                 gateway.line = Some(GatewayLine { name: call.name.clone(), ..line.clone() });
             }
         }
-        let unsaid = gateway.line.is_none();
-        if changed || unsaid || !was_ready {
-            self.refresh(now, tuning, numbers);
+        let line_missing = gateway.line.is_none();
+        if line_changed || line_missing || !was_ready {
+            self.refresh(now, tuning, sequence);
         }
-        if unsaid {
+        if line_missing {
             CallOutcome::MissingLine
         } else {
             CallOutcome::Accepted
         }
     }
 
-    /// The watch connection of a life broke.
-    pub(crate) fn left(&mut self, now: u64, tuning: &Tuning, name: &str, life: u64, numbers: &mut Numbering) {
-        let Some(gateway) = self.known.get_mut(name) else { return };
-        // An older life's connection may be found broken after the new one has called.
-        if gateway.life == Some(life) && gateway.broken.is_none() {
-            gateway.broken = Some(now);
-            self.refresh(now, tuning, numbers);
+    /// The watch connection of the gateway process `life` broke.
+    pub(crate) fn disconnected(
+        &mut self,
+        now: u64,
+        tuning: &Tuning,
+        name: &str,
+        life: u64,
+        sequence: &mut Sequence,
+    ) {
+        let Some(gateway) = self.by_name.get_mut(name) else { return };
+        // The broken connection of a replaced process may be noticed only after the new process has called.
+        if gateway.life == Some(life) && gateway.disconnected_at.is_none() {
+            gateway.disconnected_at = Some(now);
+            self.refresh(now, tuning, sequence);
         }
     }
 
-    /// Publishes what time has changed; forgets those that are gone for long.
-    pub(crate) fn refresh(&mut self, now: u64, tuning: &Tuning, numbers: &mut Numbering) {
-        self.known.retain(|_, gateway| now < gateway.there_until() + tuning.gateway_forget_ms);
-        let alive = |gateway: &&Gateway| now < gateway.there_until() + tuning.gateway_alive_ms;
-        let mut count = self.known.values().filter(alive).count() as u32;
-        if now < self.floor.1 {
-            count = count.max(self.floor.0);
+    /// Publishes what has changed with time, and removes gateways that have been away for too long.
+    pub(crate) fn refresh(&mut self, now: u64, tuning: &Tuning, sequence: &mut Sequence) {
+        self.by_name.retain(|_, gateway| now < gateway.connected_until() + tuning.gateway_forget_ms);
+        let alive = |gateway: &&Gateway| now < gateway.connected_until() + tuning.gateway_alive_ms;
+        let mut count = self.by_name.values().filter(alive).count() as u32;
+        if now < self.min_count.until {
+            count = count.max(self.min_count.count);
         }
         if count != self.count {
             self.count = count;
-            self.count_at = numbers.next();
+            self.count_seq = sequence.next();
         }
-        let lines =
-            || self.known.values().filter_map(|gateway| Some((gateway.line.as_ref()?, gateway.ready(now))));
-        let same = |(held, (line, ready)): (&GatewayLine, (&GatewayLine, bool))| {
-            held.ready == ready
-                && held.name == line.name
-                && held.front == line.front
-                && held.zone == line.zone
+        let lines = || {
+            self.by_name.values().filter_map(|gateway| Some((gateway.line.as_ref()?, gateway.is_ready(now))))
+        };
+        let unchanged = |(published, (line, ready)): (&GatewayLine, (&GatewayLine, bool))| {
+            published.ready == ready
+                && published.name == line.name
+                && published.front == line.front
+                && published.zone == line.zone
         };
-        let held = self.roster.lines();
-        if lines().count() != held.len() || !held.iter().zip(lines()).all(same) {
-            let news = lines().map(|(line, ready)| GatewayLine { ready, ..line.clone() }).collect();
-            self.roster.publish(news, numbers);
+        let published = self.roster.lines();
+        if lines().count() != published.len() || !published.iter().zip(lines()).all(unchanged) {
+            let changed = lines().map(|(line, ready)| GatewayLine { ready, ..line.clone() }).collect();
+            self.roster.publish(changed, sequence);
         }
     }
 
@@ -214,47 +232,47 @@
         &self.roster
     }
 
-    /// How many may be alive.
+    /// Number of gateways that may be alive.
     pub(crate) fn count(&self) -> u32 {
         self.count
     }
 
-    /// Number of the count's last change.
-    pub(crate) fn count_at(&self) -> u64 {
-        self.count_at
+    /// Sequence number of the count's last change.
+    pub(crate) fn count_seq(&self) -> u64 {
+        self.count_seq
     }
 
-    /// How many have all up to `seq`, of those that were there lately.
-    pub(crate) fn reached(&self, now: u64, seq: u64) -> (usize, usize) {
-        let there = || self.known.values().filter(|gateway| now < gateway.there_until());
-        (there().filter(|gateway| gateway.has >= seq).count(), there().count())
+    /// Of the connected gateways, how many have everything up to `seq`, and how many there are.
+    pub(crate) fn propagation(&self, now: u64, seq: u64) -> (usize, usize) {
+        let connected = || self.by_name.values().filter(|gateway| now < gateway.connected_until());
+        (connected().filter(|gateway| gateway.acknowledged_seq >= seq).count(), connected().count())
     }
 
-    /// How each stands that has told its line.
-    pub(crate) fn standings(&self, now: u64) -> Vec<GatewayStatus> {
-        self.known.values().filter_map(|gateway| gateway.standing(now)).collect()
+    /// Status of each gateway that has sent its line.
+    pub(crate) fn statuses(&self, now: u64) -> Vec<GatewayStatus> {
+        self.by_name.values().filter_map(|gateway| gateway.status(now)).collect()
     }
 
-    /// How the process of this life stands, if it has told its line.
-    pub(crate) fn standing_of(&self, now: u64, life: u64) -> Option<GatewayStatus> {
-        let gateway = self.known.values().find(|gateway| gateway.life == Some(life))?;
-        gateway.standing(now)
+    /// Status of the gateway process `life`, if it has sent its line.
+    pub(crate) fn status_of(&self, now: u64, life: u64) -> Option<GatewayStatus> {
+        let gateway = self.by_name.values().find(|gateway| gateway.life == Some(life))?;
+        gateway.status(now)
     }
 
-    /// It may keep the permit of a cold server: a broken connection is soon made anew, and moving a permit leaves the
-    /// server idle for a while.
+    /// Whether the gateway may keep its permits for cold servers. A broken connection does not end them at once: it is
+    /// usually re-established soon, and moving a permit leaves the server without requests for a while.
     pub(crate) fn keeps_permit(&self, now: u64, tuning: &Tuning, name: &str) -> bool {
-        self.known.get(name).is_some_and(|gateway| {
+        self.by_name.get(name).is_some_and(|gateway| {
             gateway.line.as_ref().is_some_and(|line| line.ready)
-                && now < gateway.there_until() + tuning.permit_patience_ms
+                && now < gateway.connected_until() + tuning.permit_patience_ms
         })
     }
 
-    /// Ready gateways: name and zone.
+    /// Name and zone of each ready gateway.
     pub(crate) fn ready(&self, now: u64) -> impl Iterator<Item = (&str, &str)> {
-        self.known
+        self.by_name
             .iter()
-            .filter(move |(_, gateway)| gateway.ready(now))
+            .filter(move |(_, gateway)| gateway.is_ready(now))
             .filter_map(|(name, gateway)| Some((name.as_str(), gateway.line.as_ref()?.zone.as_str())))
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,17 +1,22 @@
 //! Registers of servers and of gateways, kept by the leading core member and published as versioned differences. No
-//! I/O: times (`now`, ms of a steady clock), chance and messages are arguments, what is to be told are return values.
+//! I/O: times (`now`, ms of a monotonic clock), random seeds and messages are arguments, and everything to be sent is a
+//! return value.
 //!
-//! - [`Register`] lives on the leader. Beats of servers and watch calls of gateways go in; [`Register::answer`] makes
-//!   the [`WatchAnswer`](nickeljunction_messages::WatchAnswer) that a caller lacks.
-//! - [`WatchCache`] lives in every watcher, gateway or follower. It holds the [`Catalog`], an immutable snapshot that
-//!   [`WatchCache::apply`] swaps whole. A follower that comes to lead hands its copy to [`Register::new`].
+//! - [`Register`] runs on the leader. It receives heartbeats of servers and watch calls of gateways and followers;
+//!   [`Register::answer`] makes the [`WatchAnswer`](nickeljunction_messages::WatchAnswer) with everything that a caller
+//!   has not received yet.
+//! - [`WatchCache`] runs in every watcher, that is every gateway and follower. It holds the [`Catalog`], an immutable
+//!   snapshot that [`WatchCache::apply`] replaces as a whole. A follower that becomes leader passes its cache to
+//!   [`Register::new`].
 //! - [`nearby_gateways`] lists the gateways near a client.
 //!
-//! # Driving a register
+//! # Use of a register
 //!
-//! After a take-over call [`Register::new`], then at once [`Register::apply_departures`], [`Register::set_evacuated_zones`], [`Register::set_trials`],
-//! [`Register::set_config`] and [`Register::set_core_hosts`] with what the agreed log says, and only then answer watch calls. Call [`Register::tick`] every
-//! 100 to 500 ms. After any call check the held watch calls again if [`Register::seq`] rose.
+//! After becoming leader, call [`Register::new`], then at once [`Register::apply_departures`],
+//! [`Register::set_evacuated_zones`], [`Register::set_trials`], [`Register::set_config`] and
+//! [`Register::set_core_hosts`] with the state of the replicated log, and answer watch calls only after that. Call
+//! [`Register::tick`] every 100 to 500 ms. If [`Register::seq`] increased after any call, try again to answer the watch
+//! calls that are held.
 
 mod catalog;
 mod config_history;
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -1,4 +1,4 @@
-//! The leader's registers as one: what comes in, what is new for whom.
+//! The leader's soft state: what it receives from servers and gateways, and what each watcher has not received yet.
 
 use crate::catalog::WatchCache;
 use crate::config_history::ConfigHistory;
@@ -13,45 +13,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How long a gateway may go by a permit for a cold server, ms, counted from the sending of the watch call whose answer
-/// told it, less the answer's `age_ms` (see [`crate::SendLimit::of`]). Below [`Tuning::permit_gap_ms`].
+/// How long a gateway may use a permit for a cold server, ms. Counted from when the gateway sent the watch call whose
+/// answer gave it the permit, less the answer's `age_ms` (see [`crate::SendLimit::of`]). Less than
+/// [`Tuning::permit_gap_ms`].
 pub const PERMIT_LIFE_MS: u64 = 2_500;
 
-/// Times of the registers, ms. [`Tuning::new`] derives them from the settings.
+/// Time-outs and intervals of the register, ms. [`Tuning::new`] derives them from the settings.
 #[derive(Debug, Clone)]
 pub struct Tuning {
-    /// Servers beat about that often.
+    /// Usual interval between two heartbeats of a server.
     pub heartbeat_ms: u64,
-    /// A life that was silent for so long is withdrawn. Too short: lost beats empty the table; too long: requests go to
-    /// the dead.
+    /// A server instance without a heartbeat for this long is removed. Too short: lost heartbeats empty the table. Too
+    /// long: requests are sent to servers that have failed.
     pub silence_ms: u64,
-    /// The same while most lives are silent: then this machine was cut off, not they.
+    /// Used instead of `silence_ms` while most instances are silent, because then this machine was probably cut off.
     pub mass_silence_ms: u64,
-    /// So long after a start without a copy the table is not whole, and gateways keep what they had besides. Longer, at
-    /// most four times as long, while lives still come or none has.
+    /// After a start without a cache the server table counts as incomplete for this long, and gateways keep the servers
+    /// that they have in addition. Extended, to four times as long at most, while new instances still register or none
+    /// has registered yet.
     pub gather_ms: u64,
-    /// Ids of lives that ended are remembered for so long, against late beats.
+    /// The ids of ended instances are remembered for this long, so that delayed heartbeats don't register them again.
     pub ended_ms: u64,
-    /// After an evacuation's withdrawal beats within this time may have been sent before it.
+    /// Heartbeats that arrive within this time after an evacuation was withdrawn may have been sent before that.
     pub hold_margin_ms: u64,
-    /// Nobody has the permit for a cold server for so long after it was taken from a gateway. Above [`PERMIT_LIFE_MS`].
+    /// After a gateway has lost the permit for a cold server, no gateway receives it for this long. More than
+    /// [`PERMIT_LIFE_MS`].
     pub permit_gap_ms: u64,
-    /// A gateway out of reach keeps its permits for so long.
+    /// A disconnected gateway keeps its permits for this long.
     pub permit_patience_ms: u64,
-    /// A gateway's next watch call comes within this time after the hold of the one before.
+    /// The next watch call of a gateway arrives within this time after the hold time of the previous one.
     pub gateway_slack_ms: u64,
-    /// Gateways count as alive for so long after they were last there.
+    /// A gateway counts as alive for this long after it was last connected.
     pub gateway_alive_ms: u64,
-    /// Gateways are forgotten so long after they were last there.
+    /// A gateway is removed this long after it was last connected.
     pub gateway_forget_ms: u64,
-    /// A copy's gateways have so long to find the new leader.
+    /// The gateways in a cache have this long to find the new leader.
     pub takeover_ms: u64,
     /// Region of each zone.
     pub zones: BTreeMap<String, String>,
 }
 
 impl Tuning {
-    /// The usual times for servers that beat every `heartbeat_ms` (at least 100).
+    /// The defaults for servers that send a heartbeat every `heartbeat_ms` (at least 100).
     pub fn new(heartbeat_ms: u64, zones: BTreeMap<String, String>) -> Tuning {
         let heartbeat_ms = heartbeat_ms.max(100);
         let silence_ms = heartbeat_ms * 33 / 10;
@@ -72,20 +75,21 @@
         }
     }
 
-    /// A life that was silent for longer, ms, is missed; it may still be back before it is withdrawn.
-    pub(crate) fn missing_ms(&self) -> u64 {
+    /// An instance without a heartbeat for longer than this, ms, is reported as silent. It may still send one before it
+    /// is removed.
+    pub(crate) fn silence_report_ms(&self) -> u64 {
         self.silence_ms.saturating_sub(self.heartbeat_ms * 6 / 5)
     }
 }
 
-/// Numbers of changes within a term.
+/// Sequence numbers of changes within a term.
 #[derive(Debug)]
-pub(crate) struct Numbering(u64);
+pub(crate) struct Sequence(u64);
 
-impl Numbering {
-    /// From 0: nothing was told.
-    pub(crate) fn new() -> Numbering {
-        Numbering(0)
+impl Sequence {
+    /// Starts at 0, which stands for nothing received.
+    pub(crate) fn new() -> Sequence {
+        Sequence(0)
     }
 
     pub(crate) fn next(&mut self) -> u64 {
@@ -94,204 +98,218 @@
     }
 }
 
-/// How far a change has come round, by the watch calls that followed it.
+/// How many gateways have received a change, as their later watch calls show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Propagation {
-    /// Gateways that have it.
+    /// Connected gateways that have received the change.
     pub gateways: usize,
-    /// Gateways that are there now.
+    /// All connected gateways.
     pub connected_gateways: usize,
 }
 
-/// Something published: what it is, and the number of its last change. `None`: not told yet.
-type Told<T> = Option<(T, u64)>;
+/// A published value with the sequence number of its last change. `None`: not published yet.
+type Published<T> = Option<(T, u64)>;
 
-/// How far a tenant's trial has lapsed, by the agreed log.
+/// How far a tenant's trial has lapsed, according to the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrialState {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Rises with each change.
+    /// Increases with each change.
     pub step: u64,
-    /// 0: not at all.
+    /// 0: not lapsed at all.
     pub stage: u32,
-    /// From then on it holds, ms of this leader's clock.
+    /// When the stage takes effect, ms of this leader's clock.
     pub effective_at_ms: u64,
 }
 
 impl TrialState {
-    /// As it is told now.
+    /// The line to publish at time `now`.
     fn line(&self, now: u64) -> TrialLine {
         let in_ms = self.effective_at_ms.saturating_sub(now);
         TrialLine { tenant: self.tenant.clone(), step: self.step, stage: self.stage, in_ms }
     }
 }
 
-/// A configuration as it is told.
+/// The published configuration.
 #[derive(Debug)]
-struct Published {
+struct PublishedConfig {
     line: Rc<ConfigLine>,
     digest: DocumentDigest,
-    changes: ConfigHistory,
-    /// Made when the first caller asks for it, the same for all of one version.
-    made: RefCell<BTreeMap<u64, Option<Rc<ConfigChange>>>>,
+    history: ConfigHistory,
+    /// Differences by the version that they start from. Each is made for the first caller that needs it and shared by
+    /// all callers of that version.
+    differences: RefCell<BTreeMap<u64, Option<Rc<ConfigChange>>>>,
 }
 
-impl Published {
-    /// What leads to it from version `from`; `None`: nothing does that is less than the whole.
-    fn change(&self, from: u64) -> Option<Rc<ConfigChange>> {
+impl PublishedConfig {
+    /// The difference from version `from`; `None`: there is none that is smaller than the whole document.
+    fn change_from(&self, from: u64) -> Option<Rc<ConfigChange>> {
         let make = || {
             let version = self.line.version;
-            let difference = self.changes.since(from, version, &self.line.doc)?;
+            let difference = self.history.since(from, version, &self.line.doc)?;
             Some(Rc::new(ConfigChange { from, version, difference, digest: self.digest }))
         };
-        self.made.borrow_mut().entry(from).or_insert_with(make).clone()
+        self.differences.borrow_mut().entry(from).or_insert_with(make).clone()
     }
 }
 
-/// A start without a copy.
+/// The time after a start without a cache in which the server table is incomplete.
 #[derive(Debug)]
 struct Gathering {
-    /// Over then, if lives have come.
+    /// Ends at this time if any server has registered.
     end: u64,
-    /// Over then in any case.
-    last: u64,
+    /// Ends at this time in any case.
+    latest_end: u64,
 }
 
-/// The soft state of a leader in one term: servers, gateways, and what the agreed log says for them to know.
+/// The soft state of a leader in one term: servers, gateways, and the parts of the replicated log that they need.
 ///
-/// Nothing here is on disk. A successor starts from its [`WatchCache`]; without one it gathers for
-/// [`Tuning::gather_ms`], and its answers add to what gateways have instead of replacing it.
+/// Nothing here is stored on disk. A new leader starts from its [`WatchCache`]. Without one it gathers heartbeats for
+/// [`Tuning::gather_ms`], and meanwhile its answers add to what gateways have instead of replacing it.
 #[derive(Debug)]
 pub struct Register {
     tuning: Tuning,
     term: u64,
-    numbers: Numbering,
+    sequence: Sequence,
     servers: Servers,
     gateways: Gateways,
-    evacuated: Told<BTreeSet<String>>,
-    /// The copy's evacuated zones, until the log's are told.
-    before: BTreeSet<String>,
-    core: Told<Vec<String>>,
+    evacuated_zones: Published<BTreeSet<String>>,
+    /// Evacuated zones according to the cache, used until those of the log are set.
+    cached_evacuated_zones: BTreeSet<String>,
+    core_hosts: Published<Vec<String>>,
     /// All trials that ever changed.
-    trials: Told<Vec<TrialState>>,
-    config: Option<Published>,
-    /// When `config` came, to the tick.
-    config_at: u64,
-    /// The table is not whole before that.
+    trials: Published<Vec<TrialState>>,
+    config: Option<PublishedConfig>,
+    /// Time of the last tick before `config` was set.
+    config_set_at: u64,
+    /// Set while the server table is incomplete.
     gathering: Option<Gathering>,
-    /// Answers from before this number can't be continued by differences.
-    whole_at: u64,
-    ticked: u64,
+    /// Callers with a lower sequence number need the whole server table, because it was incomplete up to then.
+    complete_since_seq: u64,
+    last_tick: u64,
 }
 
 impl Register {
-    /// Starts leading in `term` (above 0), from what this member had learned as a follower.
-    pub fn new(now: u64, tuning: Tuning, term: u64, copy: Option<WatchCache>) -> Register {
-        let mut numbers = Numbering::new();
-        let complete = copy.as_ref().is_some_and(WatchCache::is_complete);
-        let copy = copy.unwrap_or_default();
-        let catalog = copy.catalog();
-        let servers = Servers::new(now, &tuning, &copy, &mut numbers);
-        let gateways = Gateways::new(now, &tuning, &catalog.roster, catalog.gateway_count, &mut numbers);
+    /// Starts leading in `term` (above 0) from what this member received as a follower.
+    pub fn new(now: u64, tuning: Tuning, term: u64, cache: Option<WatchCache>) -> Register {
+        let mut sequence = Sequence::new();
+        let complete = cache.as_ref().is_some_and(WatchCache::is_complete);
+        let cache = cache.unwrap_or_default();
+        let catalog = cache.catalog();
+        let servers = Servers::new(now, &tuning, &cache, &mut sequence);
+        let gateways = Gateways::new(now, &tuning, &catalog.roster, catalog.gateway_count, &mut sequence);
         Register {
             gathering: (!complete)
-                .then_some(Gathering { end: now + tuning.gather_ms, last: now + 4 * tuning.gather_ms }),
+                .then_some(Gathering { end: now + tuning.gather_ms, latest_end: now + 4 * tuning.gather_ms }),
             tuning,
             term,
-            numbers,
+            sequence,
             servers,
             gateways,
-            evacuated: None,
-            before: BTreeSet::clone(&catalog.evacuated_zones),
-            core: None,
+            evacuated_zones: None,
+            cached_evacuated_zones: BTreeSet::clone(&catalog.evacuated_zones),
+            core_hosts: None,
             trials: None,
             config: None,
-            config_at: now,
-            whole_at: 0,
-            ticked: now,
+            config_set_at: now,
+            complete_since_seq: 0,
+            last_tick: now,
         }
     }
 
-    /// Its term.
+    /// The term in which this member leads.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Number of the newest change: where it rose, held watch calls may have an answer.
+    /// Sequence number of the newest change. When it increases, there may be answers for held watch calls.
     pub fn seq(&self) -> u64 {
-        self.numbers.0
+        self.sequence.0
     }
 
-    /// The table may lack lives that have not beaten since the start without a copy.
+    /// Whether the server table may still lack servers, because it was started without a cache and they have not sent a
+    /// heartbeat yet.
     pub fn is_gathering(&self) -> bool {
         self.gathering.is_some()
     }
 
-    /// Servers that left by the agreed log, whatever the copy said of them: those that drain, each with the number of the
-    /// call that said so, and those that ended. To be told right after [`Register::new`].
+    /// Applies the departures from the replicated log, which take precedence over the cache: draining servers with the
+    /// number of the call that announced it, and ended servers. Must be called right after [`Register::new`].
     pub fn apply_departures(&mut self, now: u64, draining: &BTreeMap<String, u64>, ended: &BTreeSet<String>) {
-        self.servers.departed(now, &self.tuning, draining, ended, &mut self.numbers);
+        self.servers.apply_departures(now, &self.tuning, draining, ended, &mut self.sequence);
     }
 
-    /// State of the server of this id; `None`: it is not in the table.
+    /// State of the server instance `id`; `None`: it is not in the table.
     pub fn server_state(&self, id: &str) -> Option<ServerState> {
         self.servers.state(id)
     }
 
-    /// A server says that it lives. Whatever the outcome, the call is to be acknowledged; one that says `draining` only
-    /// when [`HeartbeatOutcome::at`] has come round, see [`Register::propagation`].
-    pub fn record_heartbeat(&mut self, now: u64, id: &str, beat: &Heartbeat) -> HeartbeatOutcome {
-        let outcome = self.servers.beat(now, &self.tuning, &self.gateways, id, beat, &mut self.numbers);
+    /// Records a server's heartbeat. The caller must acknowledge it whatever the outcome is; one that announces
+    /// `draining` only when the change [`HeartbeatOutcome::seq`] has reached all gateways, see [`Register::propagation`].
+    pub fn record_heartbeat(&mut self, now: u64, id: &str, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+        let outcome = self.servers.record_heartbeat(
+            now,
+            &self.tuning,
+            &self.gateways,
+            id,
+            heartbeat,
+            &mut self.sequence,
+        );
         if let (HeartbeatKind::Registered, Some(gathering)) = (outcome.kind, &mut self.gathering) {
             gathering.end = gathering.end.max(now + self.tuning.heartbeat_ms);
         }
         outcome
     }
 
-    /// A server says that it is gone. Returns the number of the change that withdrew it, or of the newest one if it was
-    /// not there; to be acknowledged when that has come round.
+    /// Removes a server that announced its end. Returns the sequence number of this change, or of the newest one if the
+    /// server was not in the table. The announcement must be acknowledged only when that change has reached all gateways.
     pub fn remove_server(&mut self, now: u64, id: &str) -> u64 {
-        self.servers.leave(now, &self.tuning, id, &mut self.numbers);
+        self.servers.remove(now, &self.tuning, id, &mut self.sequence);
         self.seq()
     }
 
-    /// Lets time pass: to be called every 100 to 500 ms, for a longer pause is taken for one in which this machine stood
-    /// still. Returns the lives that were withdrawn for their silence.
+    /// Applies everything that depends on time. Must be called every 100 to 500 ms: a longer pause counts as time in
+    /// which this process was suspended. Returns the ids of servers that were removed because they were silent.
     pub fn tick(&mut self, now: u64) -> Vec<String> {
-        let pause = now.saturating_sub(self.ticked);
-        self.ticked = now;
-        // Beats that came while this process was frozen are still unread: nobody was silent.
+        let pause = now.saturating_sub(self.last_tick);
+        self.last_tick = now;
+        // Heartbeats that arrived while this process was suspended have not been read yet, so no server counts as silent
+        // for that time.
         if pause > 1_000 {
-            self.servers.stood_still(now, pause);
+            self.servers.discount_pause(now, pause);
         }
-        self.gateways.refresh(now, &self.tuning, &mut self.numbers);
-        let expired = self.servers.expire(now, &self.tuning, &mut self.numbers);
-        self.servers.warm(now, &self.tuning, &self.gateways, &mut self.numbers);
-        let over = |wait: &Gathering| now >= wait.last || now >= wait.end && self.servers.count() > 0;
-        if self.gathering.as_ref().is_some_and(over) {
+        self.gateways.refresh(now, &self.tuning, &mut self.sequence);
+        let expired = self.servers.expire(now, &self.tuning, &mut self.sequence);
+        self.servers.update_warmth(now, &self.tuning, &self.gateways, &mut self.sequence);
+        let has_ended = |gathering: &Gathering| {
+            now >= gathering.latest_end || now >= gathering.end && self.servers.count() > 0
+        };
+        if self.gathering.as_ref().is_some_and(has_ended) {
             self.gathering = None;
-            self.whole_at = self.numbers.next();
+            self.complete_since_seq = self.sequence.next();
         }
         expired
     }
 
-    /// A watch call came in, of a gateway or of a follower; to be told before [`Register::answer`] is asked.
+    /// Records a watch call of a gateway or of a follower. Must be called before [`Register::answer`].
     pub fn record_watch_call(&mut self, now: u64, call: &WatchCall) -> CallOutcome {
-        let has = if call.term == self.term { call.seq } else { 0 };
+        let acknowledged_seq = if call.term == self.term { call.seq } else { 0 };
         match call.who {
-            Caller::Gateway => self.gateways.called(now, &self.tuning, call, has, &mut self.numbers),
+            Caller::Gateway => {
+                self.gateways.record_call(now, &self.tuning, call, acknowledged_seq, &mut self.sequence)
+            }
             Caller::Core => CallOutcome::CoreMember,
         }
     }
 
-    /// The watch connection of a gateway's life broke.
+    /// The watch connection of the gateway process `life` broke.
     pub fn gateway_disconnected(&mut self, now: u64, name: &str, life: u64) {
-        self.gateways.left(now, &self.tuning, name, life, &mut self.numbers);
+        self.gateways.disconnected(now, &self.tuning, name, life, &mut self.sequence);
     }
 
-    /// How many gateways there are: those that were there in the last [`Tuning::gateway_alive_ms`], and after a
-    /// take-over at least as many as the copy told. Rather too many than too few: shares are divided by it.
+    /// Number of gateways that were connected within the last [`Tuning::gateway_alive_ms`], and after a take-over at
+    /// least as many as in the cache. Quota shares are divided by it, so it is overestimated rather than underestimated.
     pub fn gateway_count(&self) -> u32 {
         self.gateways.count()
     }
@@ -301,110 +319,114 @@
         self.gateways.roster().lines().clone()
     }
 
-    /// How many lives of servers there are.
+    /// Number of server instances.
     pub fn server_count(&self) -> usize {
         self.servers.count()
     }
 
-    /// How many lives of each service are in which state.
+    /// Number of server instances by service and state.
     pub fn server_counts(&self) -> ServerCounts {
         count_servers(self.servers.lines())
     }
 
-    /// How each gateway stands that has told its line.
+    /// Status of each gateway that has sent its line.
     pub fn gateway_statuses(&self, now: u64) -> Vec<GatewayStatus> {
-        self.gateways.standings(now)
+        self.gateways.statuses(now)
     }
 
-    /// How a gateway's process stands, by its life; `None`: it has ended, or has not told this leader its line.
+    /// Status of the gateway process `life`; `None`: it has ended, or has not sent this leader its line.
     pub fn gateway_status(&self, now: u64, life: u64) -> Option<GatewayStatus> {
-        self.gateways.standing_of(now, life)
+        self.gateways.status_of(now, life)
     }
 
-    /// How each life of a server stands.
+    /// Status of each server instance.
     pub fn server_statuses(&self, now: u64) -> Vec<ServerStatus> {
-        self.servers.standings(now, &self.tuning)
+        self.servers.statuses(now, &self.tuning)
     }
 
-    /// So long ago, ms, give or take a tick, the configuration came under this leader.
+    /// Time since the configuration was set under this leader, ms, accurate to the interval of ticks.
     pub fn config_age(&self, now: u64) -> u64 {
-        now.saturating_sub(self.config_at)
+        now.saturating_sub(self.config_set_at)
     }
 
-    /// Zones that are evacuated, all of them, by the agreed log. Servers of a zone whose evacuation is withdrawn are
-    /// held until each has beaten, for they may have turned cold.
+    /// Sets the evacuated zones, all of them, according to the replicated log. Servers of a zone whose evacuation was
+    /// withdrawn receive no requests until each has sent a heartbeat, because they may have turned cold.
     pub fn set_evacuated_zones(&mut self, now: u64, zones: BTreeSet<String>) {
-        let before = match &self.evacuated {
-            Some((told, _)) if *told == zones => return,
-            Some((told, _)) => told,
-            None => &self.before,
+        let previous = match &self.evacuated_zones {
+            Some((published, _)) if *published == zones => return,
+            Some((published, _)) => published,
+            None => &self.cached_evacuated_zones,
         };
-        let withdrawn: BTreeSet<&String> = before.difference(&zones).collect();
-        self.servers.hold(now, &self.tuning, &withdrawn, &mut self.numbers);
-        self.evacuated = Some((zones, self.numbers.next()));
+        let reopened: BTreeSet<&String> = previous.difference(&zones).collect();
+        self.servers.await_warmth(now, &self.tuning, &reopened, &mut self.sequence);
+        self.evacuated_zones = Some((zones, self.sequence.next()));
     }
 
-    /// The core's machines, by IP address.
+    /// Sets the IP addresses of the core members' machines.
     pub fn set_core_hosts(&mut self, hosts: Vec<String>) {
-        if self.core.as_ref().is_none_or(|(told, _)| *told != hosts) {
-            self.core = Some((hosts, self.numbers.next()));
+        if self.core_hosts.as_ref().is_none_or(|(published, _)| *published != hosts) {
+            self.core_hosts = Some((hosts, self.sequence.next()));
         }
     }
 
-    /// All trials that ever changed, by the agreed log. None: there is nothing to tell.
-    pub fn set_trials(&mut self, tides: Vec<TrialState>) {
-        let told = self.trials.as_ref().map_or(&[][..], |(told, _)| told);
-        if told != tides {
-            self.trials = Some((tides, self.numbers.next()));
+    /// Sets all trials that ever changed, according to the replicated log. An empty list is not published unless another
+    /// one was.
+    pub fn set_trials(&mut self, trials: Vec<TrialState>) {
+        let published = self.trials.as_ref().map_or(&[][..], |(published, _)| published);
+        if published != trials {
+            self.trials = Some((trials, self.sequence.next()));
         }
     }
 
-    /// The newest configuration that was agreed on, with its digest and what led to it; an older one than is held changes
-    /// nothing.
-    pub fn set_config(&mut self, line: Rc<ConfigLine>, digest: DocumentDigest, changes: ConfigHistory) {
-        if self.config.as_ref().is_none_or(|held| held.line.version < line.version) {
-            self.config = Some(Published { line, digest, changes, made: RefCell::default() });
-            self.config_at = self.ticked;
-            self.numbers.next();
+    /// Sets the newest committed configuration, with its digest and the changes that led to it. Has no effect if it is
+    /// not newer than the current one.
+    pub fn set_config(&mut self, line: Rc<ConfigLine>, digest: DocumentDigest, history: ConfigHistory) {
+        if self.config.as_ref().is_none_or(|config| config.line.version < line.version) {
+            self.config = Some(PublishedConfig { line, digest, history, differences: RefCell::default() });
+            self.config_set_at = self.last_tick;
+            self.sequence.next();
         }
     }
 
-    /// How far the change of number `seq` has come round; for changes of servers and evacuations.
+    /// How many gateways have received the change `seq`. Only for changes of servers and of evacuated zones.
     pub fn propagation(&self, now: u64, seq: u64) -> Propagation {
-        let (gateways, connected_gateways) = self.gateways.reached(now, seq);
+        let (gateways, connected_gateways) = self.gateways.propagation(now, seq);
         Propagation { gateways, connected_gateways }
     }
 
-    /// What the caller lacks; `None`: nothing, and the call is to be held. `age_ms`: so long ago a majority agreed that
-    /// this member leads.
+    /// Everything that the caller has not received yet; `None`: there is nothing, and the call must be held. `age_ms` is
+    /// the time since a majority last confirmed this member as leader.
     pub fn answer(&self, now: u64, call: &WatchCall, age_ms: u64) -> Option<WatchAnswer> {
         if call.term > self.term {
             return None;
         }
-        let own = call.term == self.term && call.seq <= self.seq();
-        let since = if own { call.seq } else { 0 };
+        let same_term = call.term == self.term && call.seq <= self.seq();
+        let since = if same_term { call.seq } else { 0 };
         let mut answer = self.empty_answer(age_ms);
-        // One that has nothing is told all there is as the whole, unless a successor would take it for that.
+        // While the table is incomplete, a caller that has nothing receives it as the full table all the same, but not a
+        // core member: as the next leader it would take the table for complete.
         let partial = self.is_gathering() && (call.who == Caller::Core || call.term != 0);
-        if own && self.holds_all(call) && self.servers.follows(since) {
-            self.servers.since(since, &mut answer);
+        if same_term && self.has_full_table(call) && self.servers.has_differences_since(since) {
+            self.servers.add_changes(since, &mut answer);
         } else {
             answer.whole = !partial;
-            answer.servers = self.servers.all();
+            answer.servers = self.servers.cloned_lines();
             if partial {
-                // It goes on top of what the caller has, which may name lives that went under this leader.
-                answer.gone = self.servers.all_gone();
+                // The caller adds these servers to those it has, which may include some that were removed under this
+                // leader.
+                answer.gone = self.servers.removed_ids();
             }
         }
         self.add_config(call, &mut answer);
-        let evacuated = self.evacuated.as_ref().filter(|(_, at)| *at > since);
-        answer.evacuated = evacuated.map(|(zones, _)| zones.iter().cloned().collect());
-        answer.core = self.core.as_ref().filter(|(_, at)| *at > since).map(|(hosts, _)| hosts.clone());
-        let trials = self.trials.as_ref().filter(|(_, at)| *at > since);
-        answer.trials = trials.map(|(tides, _)| tides.iter().map(|tide| tide.line(now)).collect());
-        answer.gateways = (self.gateways.count_at() > since).then(|| self.gateways.count());
+        let evacuated_zones = self.evacuated_zones.as_ref().filter(|(_, seq)| *seq > since);
+        answer.evacuated = evacuated_zones.map(|(zones, _)| zones.iter().cloned().collect());
+        let core_hosts = self.core_hosts.as_ref().filter(|(_, seq)| *seq > since);
+        answer.core = core_hosts.map(|(hosts, _)| hosts.clone());
+        let trials = self.trials.as_ref().filter(|(_, seq)| *seq > since);
+        answer.trials = trials.map(|(trials, _)| trials.iter().map(|trial| trial.line(now)).collect());
+        answer.gateways = (self.gateways.count_seq() > since).then(|| self.gateways.count());
         self.add_roster(call, since, &mut answer);
-        let news = !own
+        let has_content = !same_term
             || answer.whole
             || !answer.servers.is_empty()
             || !answer.gone.is_empty()
@@ -416,34 +438,36 @@
             || answer.gateways.is_some()
             || answer.roster.is_some()
             || answer.roster_change.is_some();
-        news.then_some(answer)
+        has_content.then_some(answer)
     }
 
-    /// The caller has all lives of this leader's table up to its number, and no others.
-    fn holds_all(&self, call: &WatchCall) -> bool {
-        call.seq >= self.whole_at || call.told_whole
+    /// Whether the caller has exactly the servers that this leader's table had at the caller's sequence number.
+    fn has_full_table(&self, call: &WatchCall) -> bool {
+        call.seq >= self.complete_since_seq || call.told_whole
     }
 
-    /// The caller lacks something that must not wait. What may: servers and gateways that came, and how many gateways
-    /// there are.
+    /// Whether there is a change for the caller that must be sent at once. New servers, new gateways and the number of
+    /// gateways may wait.
     pub fn has_urgent_changes(&self, call: &WatchCall) -> bool {
         let since = call.seq;
-        let own = call.term == self.term && 0 < since && since <= self.seq();
-        let later = |at: u64| at > since;
-        let config = self.config.as_ref().is_some_and(|held| held.line.version > call.version);
-        !own || !self.holds_all(call)
-            || later(self.servers.pressing_at())
-            || told_roster(call) && later(self.gateways.roster().pressing_at())
+        let same_term = call.term == self.term && 0 < since && since <= self.seq();
+        let is_newer = |seq: u64| seq > since;
+        let config = self.config.as_ref().is_some_and(|config| config.line.version > call.version);
+        !same_term
+            || !self.has_full_table(call)
+            || is_newer(self.servers.urgent_seq())
+            || receives_roster(call) && is_newer(self.gateways.roster().urgent_seq())
             || call.who == Caller::Gateway && config
-            || self.evacuated.as_ref().is_some_and(|(_, at)| later(*at))
-            || self.core.as_ref().is_some_and(|(_, at)| later(*at))
-            || self.trials.as_ref().is_some_and(|(_, at)| later(*at))
+            || self.evacuated_zones.as_ref().is_some_and(|(_, seq)| is_newer(*seq))
+            || self.core_hosts.as_ref().is_some_and(|(_, seq)| is_newer(*seq))
+            || self.trials.as_ref().is_some_and(|(_, seq)| is_newer(*seq))
     }
 
-    /// The list of gateways where the caller is told it: what differs from the caller's own where that is known, else the whole.
+    /// Adds the list of gateways if the caller receives it: the difference to the caller's list if that is known,
+    /// otherwise the whole list.
     fn add_roster(&self, call: &WatchCall, since: u64, answer: &mut WatchAnswer) {
         let roster = self.gateways.roster();
-        if !told_roster(call) || roster.changed_at() <= since {
+        if !receives_roster(call) || roster.changed_seq() <= since {
             return;
         }
         answer.roster_change = if call.roster_differences { roster.change_since(since) } else { None };
@@ -452,24 +476,26 @@
         }
     }
 
-    /// The configuration where the caller lacks it: what differs from the caller's own where that is known, else the whole.
+    /// Adds the configuration if the caller has an older one: the difference to the caller's version if that is known,
+    /// otherwise the whole document.
     fn add_config(&self, call: &WatchCall, answer: &mut WatchAnswer) {
-        // A core member has it from the log.
-        let asks = |held: &&Published| call.who == Caller::Gateway && held.line.version > call.version;
-        let Some(held) = self.config.as_ref().filter(asks) else { return };
-        answer.change = if call.differences { held.change(call.version) } else { None };
+        // Core members read the configuration from the log.
+        let needed =
+            |config: &&PublishedConfig| call.who == Caller::Gateway && config.line.version > call.version;
+        let Some(config) = self.config.as_ref().filter(needed) else { return };
+        answer.change = if call.differences { config.change_from(call.version) } else { None };
         if answer.change.is_none() {
-            answer.config = Some(held.line.clone());
+            answer.config = Some(config.line.clone());
         }
     }
 
-    /// The answer to a call that was held for its whole time without news.
+    /// The answer to a call that was held for its whole hold time without any change.
     pub fn empty_answer(&self, age_ms: u64) -> WatchAnswer {
         WatchAnswer { term: self.term, seq: self.seq(), age_ms, ..WatchAnswer::default() }
     }
 }
 
-/// The caller is told the list of gateways.
-fn told_roster(call: &WatchCall) -> bool {
+/// Whether the caller receives the list of gateways.
+fn receives_roster(call: &WatchCall) -> bool {
     call.who == Caller::Core || call.directory
 }
--- a/crates/registry/src/roster.rs
+++ b/crates/registry/src/roster.rs
@@ -1,111 +1,113 @@
-//! The list of gateways as it is published, with what changed in it since when.
+//! The published list of gateways, with the sequence number of each change.
 
-use crate::register::Numbering;
+use crate::register::Sequence;
 use nickeljunction_messages::{GatewayLine, RosterChange};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Names of gateways gone that are told as differences; who lags further behind reads the whole list.
-const MOST_GONE: usize = 512;
+/// Removals that can be sent as differences. A watcher that is further behind receives the whole list.
+const MAX_REMOVED: usize = 512;
 
-/// See the module.
+/// The published list of gateways.
 #[derive(Debug)]
 pub(crate) struct Roster {
-    /// In order of their names.
+    /// Sorted by name.
     lines: Rc<Vec<GatewayLine>>,
-    /// Number of each line's last change, by name.
-    line_at: BTreeMap<String, u64>,
-    /// Number and name of those that went, oldest first.
-    gone: VecDeque<(u64, String)>,
-    /// Differences can't be told from before this number.
-    floor: u64,
-    changed_at: u64,
-    pressing_at: u64,
+    /// Sequence number of each line's last change, by gateway name.
+    line_seqs: BTreeMap<String, u64>,
+    /// Sequence number and name of each removed gateway, oldest first.
+    removed: VecDeque<(u64, String)>,
+    /// Differences are available only from this sequence number on.
+    oldest_seq: u64,
+    changed_seq: u64,
+    urgent_seq: u64,
 }
 
 impl Roster {
-    /// An empty one.
-    pub(crate) fn new(numbers: &mut Numbering) -> Roster {
-        let at = numbers.next();
+    /// An empty list.
+    pub(crate) fn new(sequence: &mut Sequence) -> Roster {
+        let seq = sequence.next();
         Roster {
             lines: Rc::default(),
-            line_at: BTreeMap::new(),
-            gone: VecDeque::new(),
-            floor: at,
-            changed_at: at,
-            pressing_at: at,
+            line_seqs: BTreeMap::new(),
+            removed: VecDeque::new(),
+            oldest_seq: seq,
+            changed_seq: seq,
+            urgent_seq: seq,
         }
     }
 
-    /// All gateways.
+    /// All gateways, sorted by name.
     pub(crate) fn lines(&self) -> &Rc<Vec<GatewayLine>> {
         &self.lines
     }
 
-    /// Number of the last change.
-    pub(crate) fn changed_at(&self) -> u64 {
-        self.changed_at
+    /// Sequence number of the last change.
+    pub(crate) fn changed_seq(&self) -> u64 {
+        self.changed_seq
     }
 
-    /// Number of the last change that must not wait: one by which clients would be sent to a gateway in vain.
-    pub(crate) fn pressing_at(&self) -> u64 {
-        self.pressing_at
+    /// Sequence number of the last change that must be sent at once, because without it clients would be sent to a
+    /// gateway that doesn't serve them, or would wait for a gateway although one is ready.
+    pub(crate) fn urgent_seq(&self) -> u64 {
+        self.urgent_seq
     }
 
-    /// Publishes `lines`, in order of their names.
-    pub(crate) fn publish(&mut self, lines: Vec<GatewayLine>, numbers: &mut Numbering) {
-        let at = numbers.next();
-        let held = std::mem::replace(&mut self.lines, Rc::new(lines));
-        let held: BTreeMap<&str, &GatewayLine> = held.iter().map(|line| (line.name.as_str(), line)).collect();
-        let mut missing = held.clone();
+    /// Publishes `lines`, which must be sorted by name.
+    pub(crate) fn publish(&mut self, lines: Vec<GatewayLine>, sequence: &mut Sequence) {
+        let seq = sequence.next();
+        let previous = std::mem::replace(&mut self.lines, Rc::new(lines));
+        let previous: BTreeMap<&str, &GatewayLine> =
+            previous.iter().map(|line| (line.name.as_str(), line)).collect();
+        let mut missing = previous.clone();
         for line in self.lines.iter() {
-            let before = held.get(line.name.as_str());
+            let before = previous.get(line.name.as_str());
             missing.remove(line.name.as_str());
             if before == Some(&line) {
                 continue;
             }
-            self.line_at.insert(line.name.clone(), at);
+            self.line_seqs.insert(line.name.clone(), seq);
             if before.is_some_and(|before| before.ready) {
-                self.pressing_at = at;
+                self.urgent_seq = seq;
             }
         }
         for (name, line) in missing {
-            self.line_at.remove(name);
-            self.gone.push_back((at, name.to_string()));
+            self.line_seqs.remove(name);
+            self.removed.push_back((seq, name.to_string()));
             if line.ready {
-                self.pressing_at = at;
+                self.urgent_seq = seq;
             }
         }
-        while self.gone.len() > MOST_GONE {
-            self.floor = self.gone.pop_front().map_or(self.floor, |(at, _)| at);
+        while self.removed.len() > MAX_REMOVED {
+            self.oldest_seq = self.removed.pop_front().map_or(self.oldest_seq, |(seq, _)| seq);
         }
-        // Nobody was ready: clients wait for the first one.
-        if !held.values().any(|line| line.ready) {
-            self.pressing_at = at;
+        // No gateway was ready before, so clients are waiting for the first one.
+        if !previous.values().any(|line| line.ready) {
+            self.urgent_seq = seq;
         }
-        self.changed_at = at;
+        self.changed_seq = seq;
     }
 
-    /// What changed after `since`; `None`: that is told by the whole list only.
+    /// What changed after `since`; `None`: `since` is too old for a difference, the whole list must be sent.
     pub(crate) fn change_since(&self, since: u64) -> Option<RosterChange> {
-        if since < self.floor {
+        if since < self.oldest_seq {
             return None;
         }
-        let fresh = |line: &&GatewayLine| self.line_at.get(&line.name).is_some_and(|at| *at > since);
-        let gone = self.gone.iter().rev().take_while(|(at, _)| *at > since);
-        // One that went and came back is among the lines.
-        let gone = gone.filter(|(_, name)| !self.line_at.contains_key(name));
+        let changed = |line: &&GatewayLine| self.line_seqs.get(&line.name).is_some_and(|seq| *seq > since);
+        let removed = self.removed.iter().rev().take_while(|(seq, _)| *seq > since);
+        // A gateway that was removed and added again is among the lines.
+        let removed = removed.filter(|(_, name)| !self.line_seqs.contains_key(name));
         Some(RosterChange {
-            lines: self.lines.iter().filter(fresh).cloned().collect(),
-            gone: gone.map(|(_, name)| name.clone()).collect(),
+            lines: self.lines.iter().filter(changed).cloned().collect(),
+            gone: removed.map(|(_, name)| name.clone()).collect(),
         })
     }
 }
 
-/// The list that results from a change to the one held.
-pub(crate) fn changed(held: &[GatewayLine], change: RosterChange) -> Vec<GatewayLine> {
+/// The list that results from applying a change to `current`.
+pub(crate) fn apply_change(current: &[GatewayLine], change: RosterChange) -> Vec<GatewayLine> {
     let mut lines: BTreeMap<String, GatewayLine> =
-        held.iter().map(|line| (line.name.clone(), line.clone())).collect();
+        current.iter().map(|line| (line.name.clone(), line.clone())).collect();
     for name in &change.gone {
         lines.remove(name);
     }
--- a/crates/registry/src/server_counts.rs
+++ b/crates/registry/src/server_counts.rs
@@ -3,12 +3,12 @@
 use nickeljunction_messages::{ServerLine, ServerState};
 use std::collections::BTreeMap;
 
-/// How many lives there are by service and state.
+/// Number of server instances by service and [`state_name`].
 pub type ServerCounts = BTreeMap<String, BTreeMap<&'static str, usize>>;
 
-/// A life's state in a word: `in_service`, `cold` (in service, at its rate) or `draining`.
+/// The state of a server as one word: `in_service`, `cold` (in service, at the rate of a cold server) or `draining`.
 pub fn state_name(line: &ServerLine) -> &'static str {
-    // One that leaves gets nothing, however cold it is.
+    // A draining server receives no requests, so it doesn't matter whether it is cold.
     match (line.state, &line.cold) {
         (ServerState::Draining, _) => "draining",
         (ServerState::InService, Some(_)) => "cold",
@@ -16,11 +16,11 @@
     }
 }
 
-/// How many of these lives are in which [`state_name`]. A service without a life is not in it.
+/// Counts these server instances by service and [`state_name`]. A service without instances is absent.
 pub fn count_servers<'a>(lines: impl IntoIterator<Item = &'a ServerLine>) -> ServerCounts {
-    let mut tally = ServerCounts::new();
+    let mut counts = ServerCounts::new();
     for line in lines {
-        *tally.entry(line.backend.clone()).or_default().entry(state_name(line)).or_default() += 1;
+        *counts.entry(line.backend.clone()).or_default().entry(state_name(line)).or_default() += 1;
     }
-    tally
+    counts
 }
--- a/crates/registry/src/servers.rs
+++ b/crates/registry/src/servers.rs
@@ -1,71 +1,72 @@
-//! Which servers there are: lives by their beats, their states, and who may send to a cold one.
+//! Which server instances exist, as far as their heartbeats show, their states, and which gateway may send to a cold one.
 
 use crate::catalog::WatchCache;
 use crate::gateways::Gateways;
-use crate::register::{Numbering, Tuning};
+use crate::register::{Sequence, Tuning};
 use nickeljunction_messages::{ServerLine, ServerState, WatchAnswer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Ids of lives gone that are told as differences; who lags further behind reads the whole table.
-const MOST_GONE: usize = 1_024;
+/// Removals that can be sent as differences. A watcher that is further behind receives the whole table.
+const MAX_REMOVED: usize = 1_024;
 
-/// Ended lives that are remembered, as many as the agreed log tells at most. Those that end first are forgotten first.
-const MOST_PAST: usize = 4_096;
+/// Former instances that are remembered; the replicated log holds no more departures than that. Those whose time ends
+/// first are dropped first.
+const MAX_FORMER: usize = 4_096;
 
-/// What a server's beat tells.
+/// A server's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Where it listens.
+    /// Where the server listens.
     pub address: String,
-    /// Its service.
+    /// Name of its service.
     pub backend: String,
-    /// Version of its software; nothing goes by it.
+    /// Version of its software; not evaluated.
     pub version: String,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes at the same time.
     pub slots: u32,
     /// Its state.
     pub state: ServerState,
-    /// Rises with each call of a life.
+    /// Increases with each call of an instance.
     pub call_seq: u64,
-    /// How much longer it is cold, ms; 0: it is warm.
+    /// Remaining time for which the server is cold, ms; 0: it is warm.
     pub warmup_left_ms: u64,
 }
 
-/// What became of a beat. All are acknowledged.
+/// What came of a heartbeat. Every heartbeat is acknowledged, whatever its outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// What it was.
+    /// What the heartbeat changed.
     pub kind: HeartbeatKind,
-    /// Number of the change by which this life's present line was published: when that has come round
-    /// ([`crate::Register::propagation`]), so has the life's state.
+    /// Sequence number of the change that published the instance's current line. Gateways that have received that change
+    /// ([`crate::Register::propagation`]) have the instance's current state.
     pub seq: u64,
 }
 
-/// Kinds of beats.
+/// Kinds of heartbeats, by what they changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatKind {
-    /// The life is new here, or back.
+    /// The instance was added to the table, for the first time or again.
     Registered,
-    /// Its line changed.
+    /// The instance's line changed.
     Changed,
-    /// Only its time.
+    /// Only the time of the last heartbeat changed.
     Unchanged,
-    /// Older than one that was heard; ignored.
+    /// Older than a heartbeat that was processed before; ignored.
     Stale,
-    /// Its life has ended, by its own word or because another life has its address; ignored.
+    /// The instance has ended: it announced its end, or another instance has its address. Ignored.
     Ended,
-    /// The leader before may have known its end: its next beat registers it.
+    /// The previous leader may have known that the instance has ended. Its next heartbeat registers it.
     Unconfirmed,
 }
 
-/// How a server stands, for operators.
+/// The status of a server instance, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerStatus {
     /// As published.
     pub line: ServerLine,
-    /// Its last beat came so long ago, ms, which is longer than servers take; `None`: it beats.
+    /// Time since the last heartbeat, ms, if that is longer than usual; `None`: heartbeats arrive as usual.
     pub silent_ms: Option<u64>,
 }
 
@@ -73,502 +74,542 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Warmth {
     Warm,
-    /// Cold until then, as its last beat told.
+    /// Cold until this time, according to its last heartbeat.
     Cold(u64),
-    /// Not known until a beat that comes at or after this time.
-    Held(u64),
+    /// Unknown until a heartbeat arrives at or after this time.
+    Unknown(u64),
 }
 
-/// Which gateway may send to a cold server. Kept while the server is warm: it may turn cold again while a gateway out of
-/// reach still goes by the permit of before.
+/// Which gateway may send to a cold server. Kept while the server is warm, because it may turn cold again while a
+/// disconnected gateway still uses its earlier permit.
 #[derive(Debug, Clone, Default)]
 struct Permit {
     holder: Option<String>,
-    /// Nobody may get it before: who had it last may still go by it.
+    /// No gateway may receive the permit before this time, because its last holder may still use it.
     free_at: u64,
 }
 
-/// One life.
+/// One server instance: one process of a server, from its start to its end.
 #[derive(Debug)]
-struct Life {
+struct Instance {
     /// As published.
     line: ServerLine,
-    /// Number of its last change.
-    changed: u64,
-    /// Of its newest beat. `None`: known from a copy, which doesn't tell it.
+    /// Sequence number of the line's last change.
+    changed_seq: u64,
+    /// `call_seq` of the newest heartbeat. `None`: the instance was taken over from a cache, which doesn't contain it.
     call_seq: Option<u64>,
-    /// When its last beat came.
-    heard: u64,
+    /// Time of the last heartbeat.
+    last_heartbeat: u64,
     warmth: Warmth,
     permit: Permit,
 }
 
-impl Life {
+impl Instance {
+    /// The value of `ServerLine::cold` to publish.
     fn cold(&self) -> Option<String> {
         match self.warmth {
             Warmth::Warm => None,
             Warmth::Cold(_) => Some(self.permit.holder.clone().unwrap_or_default()),
-            Warmth::Held(_) => Some(String::new()),
+            Warmth::Unknown(_) => Some(String::new()),
         }
     }
 
-    /// Publishes its warmth if that changed.
-    fn publish_warmth(&mut self, numbers: &mut Numbering) -> bool {
+    /// Publishes warmth and permit if they changed. Returns whether they did.
+    fn publish_warmth(&mut self, sequence: &mut Sequence) -> bool {
         let cold = self.cold();
         let changed = cold != self.line.cold;
         if changed {
             self.line.cold = cold;
-            self.changed = numbers.next();
+            self.changed_seq = sequence.next();
         }
         changed
     }
 }
 
-/// Why a life is not in the table.
+/// Why an instance is not in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    /// By its own word, or its address went to another life.
-    Certain,
-    /// It was silent: a beat newer than this brings it back.
+enum EndReason {
+    /// It announced its end, or another instance has its address.
+    Confirmed,
+    /// It was silent. A heartbeat newer than this one registers it again.
     Silent(Option<u64>),
-    /// It was gone in the copy, nobody knows why.
-    Copied,
-    /// The same, and one beat came since: a newer one brings it back.
-    Heard(u64),
+    /// The cache listed it as removed, for an unknown reason.
+    RemovedInCache,
+    /// The cache listed it as removed, and one heartbeat has arrived since. A newer one registers it again.
+    HeardOnce(u64),
 }
 
-/// A life that is not in the table.
+/// An instance that is not in the table any more.
 #[derive(Debug)]
-struct Past {
-    end: End,
+struct FormerInstance {
+    reason: EndReason,
     address: String,
-    /// Forgotten then.
+    /// Dropped at this time.
     until: u64,
     /// See [`Permit::free_at`].
-    free_at: u64,
+    permit_free_at: u64,
 }
 
-/// All lives.
+/// All server instances.
 #[derive(Debug)]
 pub(crate) struct Servers {
-    lives: BTreeMap<String, Life>,
-    past: BTreeMap<String, Past>,
-    /// Number and id of those that went, oldest first.
-    gone: VecDeque<(u64, String)>,
-    /// Differences can't be told from before this number.
-    floor: u64,
-    /// Number of the last change.
-    changed: u64,
-    /// Number of the last life that came, and of the last other change before it.
-    arrival: (u64, u64),
-    /// A leader before this one may have lent permits that are still gone by.
+    instances: BTreeMap<String, Instance>,
+    former: BTreeMap<String, FormerInstance>,
+    /// Sequence number and id of each removed instance, oldest first.
+    removed: VecDeque<(u64, String)>,
+    /// Differences are available only from this sequence number on.
+    oldest_seq: u64,
+    /// Sequence number of the last change.
+    changed_seq: u64,
+    /// Sequence number after the last registration.
+    registered_seq: u64,
+    /// Sequence number of the last other change before that registration.
+    urgent_before_registered: u64,
+    /// Permits that earlier leaders gave out may be in use until this time.
     permits_from: u64,
-    /// Most lives were silent: none is withdrawn before this time.
-    patient_until: u64,
+    /// Until this time [`Tuning::mass_silence_ms`] applies, because most instances were silent.
+    mass_silence_until: u64,
 }
 
 impl Servers {
-    /// From a copy: all of its lives count as heard now.
-    pub(crate) fn new(now: u64, tuning: &Tuning, copy: &WatchCache, numbers: &mut Numbering) -> Servers {
+    /// Starts from a cache, whose instances count as having sent a heartbeat now.
+    pub(crate) fn new(now: u64, tuning: &Tuning, cache: &WatchCache, sequence: &mut Sequence) -> Servers {
         let permits_from = now + tuning.permit_gap_ms;
         let mut servers = Servers {
-            lives: BTreeMap::new(),
-            past: BTreeMap::new(),
-            gone: VecDeque::new(),
-            floor: 0,
-            changed: numbers.next(),
-            arrival: (0, 0),
+            instances: BTreeMap::new(),
+            former: BTreeMap::new(),
+            removed: VecDeque::new(),
+            oldest_seq: 0,
+            changed_seq: sequence.next(),
+            registered_seq: 0,
+            urgent_before_registered: 0,
             permits_from,
-            patient_until: 0,
+            mass_silence_until: 0,
         };
-        for (id, line) in copy.catalog().servers.iter() {
+        for (id, line) in cache.catalog().servers.iter() {
             let mut line = ServerLine::clone(line);
             let warmth = match &mut line.cold {
                 None => Warmth::Warm,
-                // Whom the old leader gave the permit since is unknown, and how long it stays cold.
+                // Neither the gateway to which the old leader last gave the permit nor the remaining time is known.
                 Some(holder) => {
                     holder.clear();
-                    Warmth::Held(now)
+                    Warmth::Unknown(now)
                 }
             };
-            let permit = Permit { holder: None, free_at: permits_from };
-            let life = Life { line, changed: servers.changed, call_seq: None, heard: now, warmth, permit };
-            servers.lives.insert(id.to_string(), life);
+            let instance = Instance {
+                line,
+                changed_seq: servers.changed_seq,
+                call_seq: None,
+                last_heartbeat: now,
+                warmth,
+                permit: Permit { holder: None, free_at: permits_from },
+            };
+            servers.instances.insert(id.to_string(), instance);
         }
-        for id in copy.gone() {
-            servers.forget(now, tuning, id, End::Copied, String::new(), permits_from);
+        for id in cache.recently_removed() {
+            servers.remember_end(now, tuning, id, EndReason::RemovedInCache, String::new(), permits_from);
         }
         servers
     }
 
     /// See [`crate::Register::apply_departures`].
-    pub(crate) fn departed(
+    pub(crate) fn apply_departures(
         &mut self,
         now: u64,
         tuning: &Tuning,
         draining: &BTreeMap<String, u64>,
         ended: &BTreeSet<String>,
-        numbers: &mut Numbering,
+        sequence: &mut Sequence,
     ) {
         for (id, call_seq) in draining {
-            let Some(life) = self.lives.get_mut(id) else {
-                // Whoever still goes by it is told that it is gone, until its next beat.
-                self.forget(now, tuning, id, End::Silent(Some(*call_seq)), String::new(), self.permits_from);
-                self.tell_gone(id, numbers);
+            let Some(instance) = self.instances.get_mut(id) else {
+                // Gateways that still have the instance receive its removal. Its next heartbeat registers it again.
+                let reason = EndReason::Silent(Some(*call_seq));
+                self.remember_end(now, tuning, id, reason, String::new(), self.permits_from);
+                self.publish_removal(id, sequence);
                 continue;
             };
-            life.call_seq = life.call_seq.max(Some(*call_seq));
-            if life.line.state != ServerState::Draining {
-                life.line.state = ServerState::Draining;
-                life.changed = numbers.next();
-                self.changed = life.changed;
+            instance.call_seq = instance.call_seq.max(Some(*call_seq));
+            if instance.line.state != ServerState::Draining {
+                instance.line.state = ServerState::Draining;
+                instance.changed_seq = sequence.next();
+                self.changed_seq = instance.changed_seq;
             }
         }
         for id in ended {
-            if self.lives.contains_key(id) {
-                self.withdraw(now, tuning, id, End::Certain, numbers);
+            if self.instances.contains_key(id) {
+                self.end_instance(now, tuning, id, EndReason::Confirmed, sequence);
             } else {
-                self.forget(now, tuning, id, End::Certain, String::new(), 0);
-                self.tell_gone(id, numbers);
+                self.remember_end(now, tuning, id, EndReason::Confirmed, String::new(), 0);
+                self.publish_removal(id, sequence);
             }
         }
     }
 
-    /// State of the life of this id; `None`: it is not in the table.
+    /// State of the instance `id`; `None`: it is not in the table.
     pub(crate) fn state(&self, id: &str) -> Option<ServerState> {
-        self.lives.get(id).map(|life| life.line.state)
+        self.instances.get(id).map(|instance| instance.line.state)
     }
 
     /// See [`crate::Register::record_heartbeat`].
-    pub(crate) fn beat(
+    pub(crate) fn record_heartbeat(
         &mut self,
         now: u64,
         tuning: &Tuning,
         gateways: &Gateways,
         id: &str,
-        beat: &Heartbeat,
-        numbers: &mut Numbering,
+        heartbeat: &Heartbeat,
+        sequence: &mut Sequence,
     ) -> HeartbeatOutcome {
-        let Some(life) = self.lives.get_mut(id) else {
-            return self.first_beat(now, tuning, gateways, id, beat, numbers);
+        let Some(instance) = self.instances.get_mut(id) else {
+            return self.record_unregistered(now, tuning, gateways, id, heartbeat, sequence);
         };
-        let told_at = life.changed;
-        match life.call_seq {
-            Some(known) if beat.call_seq < known => {
-                return HeartbeatOutcome { kind: HeartbeatKind::Stale, seq: told_at };
+        let previous_seq = instance.changed_seq;
+        match instance.call_seq {
+            Some(newest) if heartbeat.call_seq < newest => {
+                return HeartbeatOutcome { kind: HeartbeatKind::Stale, seq: previous_seq };
             }
-            // The same call over another way: it lives, but how long it stays cold was counted from the first arrival.
-            Some(known) if beat.call_seq == known => {
-                life.heard = now;
-                return HeartbeatOutcome { kind: HeartbeatKind::Unchanged, seq: told_at };
+            // The same call arrived by another path. The server is alive, but its remaining cold time counts from the
+            // first arrival.
+            Some(newest) if heartbeat.call_seq == newest => {
+                instance.last_heartbeat = now;
+                return HeartbeatOutcome { kind: HeartbeatKind::Unchanged, seq: previous_seq };
             }
             _ => {}
         }
-        // Which call said `draining` isn't told by a copy, so that this one may be from before: only the next one may take
-        // it back.
-        let blind = life.call_seq.is_none() && life.line.state == ServerState::Draining;
-        let before = life.line.clone();
-        life.call_seq = Some(beat.call_seq);
-        life.heard = now;
-        life.line = beat.line(id);
-        life.line.cold.clone_from(&before.cold);
-        if blind {
-            life.line.state = ServerState::Draining;
+        // A cache doesn't contain the call that announced `draining`, so this heartbeat may be older than that. Only the
+        // next one may return the instance to service.
+        let maybe_before_drain = instance.call_seq.is_none() && instance.line.state == ServerState::Draining;
+        let previous = instance.line.clone();
+        instance.call_seq = Some(heartbeat.call_seq);
+        instance.last_heartbeat = now;
+        instance.line = heartbeat.line(id);
+        instance.line.cold.clone_from(&previous.cold);
+        if maybe_before_drain {
+            instance.line.state = ServerState::Draining;
         }
-        life.warmth = match life.warmth {
-            Warmth::Held(from) if now < from => Warmth::Held(from),
-            _ => beat.warmth(now),
+        instance.warmth = match instance.warmth {
+            Warmth::Unknown(from) if now < from => Warmth::Unknown(from),
+            _ => heartbeat.warmth(now),
         };
-        if life.line != before {
-            life.changed = numbers.next();
-            self.changed = life.changed;
-        }
-        if beat.address != before.address {
-            self.clear_address(now, tuning, id, &beat.address, numbers);
+        if instance.line != previous {
+            instance.changed_seq = sequence.next();
+            self.changed_seq = instance.changed_seq;
         }
-        self.assign(now, tuning, gateways, Some(id), numbers);
-        let at = self.lives.get(id).map_or(told_at, |life| life.changed);
-        HeartbeatOutcome {
-            kind: if at == told_at { HeartbeatKind::Unchanged } else { HeartbeatKind::Changed },
-            seq: at,
+        if heartbeat.address != previous.address {
+            self.end_others_at(now, tuning, id, &heartbeat.address, sequence);
         }
+        self.assign_permits(now, tuning, gateways, Some(id), sequence);
+        let seq = self.instances.get(id).map_or(previous_seq, |instance| instance.changed_seq);
+        let kind = if seq == previous_seq { HeartbeatKind::Unchanged } else { HeartbeatKind::Changed };
+        HeartbeatOutcome { kind, seq }
     }
 
-    /// A beat of a life that isn't in the table.
-    fn first_beat(
+    /// Records a heartbeat of an instance that is not in the table.
+    fn record_unregistered(
         &mut self,
         now: u64,
         tuning: &Tuning,
         gateways: &Gateways,
         id: &str,
-        beat: &Heartbeat,
-        numbers: &mut Numbering,
+        heartbeat: &Heartbeat,
+        sequence: &mut Sequence,
     ) -> HeartbeatOutcome {
-        let at = self.changed;
-        let mut free_at = self.permits_from;
-        let held = self.lives.values().any(|life| life.line.address == beat.address);
-        if let Some(past) = self.past.get_mut(id).filter(|past| now < past.until) {
-            let kind = match past.end {
-                End::Certain => HeartbeatKind::Ended,
-                End::Silent(Some(known)) | End::Heard(known) if beat.call_seq <= known => {
+        let seq = self.changed_seq;
+        let mut permit_free_at = self.permits_from;
+        let address_in_use =
+            self.instances.values().any(|instance| instance.line.address == heartbeat.address);
+        if let Some(former) = self.former.get_mut(id).filter(|former| now < former.until) {
+            let kind = match former.reason {
+                EndReason::Confirmed => HeartbeatKind::Ended,
+                EndReason::Silent(Some(newest)) | EndReason::HeardOnce(newest)
+                    if heartbeat.call_seq <= newest =>
+                {
                     HeartbeatKind::Stale
                 }
-                // Its address has gone to a life that was heard after it.
-                _ if held => {
-                    past.end = End::Certain;
+                // The address belongs to an instance that sent a heartbeat after this one had ended.
+                _ if address_in_use => {
+                    former.reason = EndReason::Confirmed;
                     HeartbeatKind::Ended
                 }
-                End::Copied => {
-                    past.end = End::Heard(beat.call_seq);
+                EndReason::RemovedInCache => {
+                    former.reason = EndReason::HeardOnce(heartbeat.call_seq);
                     HeartbeatKind::Unconfirmed
                 }
-                End::Silent(_) | End::Heard(_) => HeartbeatKind::Registered,
+                EndReason::Silent(_) | EndReason::HeardOnce(_) => HeartbeatKind::Registered,
             };
             if kind != HeartbeatKind::Registered {
-                return HeartbeatOutcome { kind, seq: at };
+                return HeartbeatOutcome { kind, seq };
             }
-            free_at = free_at.max(past.free_at);
+            permit_free_at = permit_free_at.max(former.permit_free_at);
         }
-        self.past.remove(id);
-        self.clear_address(now, tuning, id, &beat.address, numbers);
-        let others = self.pressing_at();
-        let at = numbers.next();
-        let mut line = beat.line(id);
-        // Told cold from the first: until its permit is given nobody sends.
-        line.cold = (beat.warmup_left_ms > 0).then(String::new);
-        let life = Life {
+        self.former.remove(id);
+        self.end_others_at(now, tuning, id, &heartbeat.address, sequence);
+        let urgent_seq = self.urgent_seq();
+        let seq = sequence.next();
+        let mut line = heartbeat.line(id);
+        // Published as cold from the start: no gateway sends to it before its permit is assigned.
+        line.cold = (heartbeat.warmup_left_ms > 0).then(String::new);
+        let instance = Instance {
             line,
-            changed: at,
-            call_seq: Some(beat.call_seq),
-            heard: now,
-            warmth: beat.warmth(now),
-            permit: Permit { holder: None, free_at },
+            changed_seq: seq,
+            call_seq: Some(heartbeat.call_seq),
+            last_heartbeat: now,
+            warmth: heartbeat.warmth(now),
+            permit: Permit { holder: None, free_at: permit_free_at },
         };
-        self.changed = at;
-        self.lives.insert(id.to_string(), life);
-        self.assign(now, tuning, gateways, Some(id), numbers);
-        self.arrival = (self.changed, others);
-        HeartbeatOutcome {
-            kind: HeartbeatKind::Registered,
-            seq: self.lives.get(id).map_or(at, |life| life.changed),
-        }
+        self.changed_seq = seq;
+        self.instances.insert(id.to_string(), instance);
+        self.assign_permits(now, tuning, gateways, Some(id), sequence);
+        (self.registered_seq, self.urgent_before_registered) = (self.changed_seq, urgent_seq);
+        let seq = self.instances.get(id).map_or(seq, |instance| instance.changed_seq);
+        HeartbeatOutcome { kind: HeartbeatKind::Registered, seq }
     }
 
-    /// No other life than `id` has `address`: the machine gave it to this one, which the others did not outlive.
-    fn clear_address(&mut self, now: u64, tuning: &Tuning, id: &str, address: &str, numbers: &mut Numbering) {
-        let older = |(other, life): (&String, &Life)| {
-            (life.line.address == address && other != id).then(|| other.clone())
+    /// Ends all other instances at `address`: since `id` has received the address, they no longer exist.
+    fn end_others_at(&mut self, now: u64, tuning: &Tuning, id: &str, address: &str, sequence: &mut Sequence) {
+        let same_address = |(other, instance): (&String, &Instance)| {
+            (instance.line.address == address && other != id).then(|| other.clone())
         };
-        let older: Vec<String> = self.lives.iter().filter_map(older).collect();
-        for other in older {
-            self.withdraw(now, tuning, &other, End::Certain, numbers);
+        let others: Vec<String> = self.instances.iter().filter_map(same_address).collect();
+        for other in others {
+            self.end_instance(now, tuning, &other, EndReason::Confirmed, sequence);
         }
-        for (_, past) in self.past.iter_mut().filter(|(other, past)| past.address == address && *other != id)
-        {
-            past.end = End::Certain;
+        for (other, former) in self.former.iter_mut() {
+            if former.address == address && other != id {
+                former.reason = EndReason::Confirmed;
+            }
         }
     }
 
     /// See [`crate::Register::remove_server`].
-    pub(crate) fn leave(&mut self, now: u64, tuning: &Tuning, id: &str, numbers: &mut Numbering) {
-        if self.lives.contains_key(id) {
-            self.withdraw(now, tuning, id, End::Certain, numbers);
+    pub(crate) fn remove(&mut self, now: u64, tuning: &Tuning, id: &str, sequence: &mut Sequence) {
+        if self.instances.contains_key(id) {
+            self.end_instance(now, tuning, id, EndReason::Confirmed, sequence);
         } else {
-            // Its beats may still be under way, even if none has come.
-            self.forget(now, tuning, id, End::Certain, String::new(), 0);
+            // Heartbeats may still be on their way, even if none has arrived yet.
+            self.remember_end(now, tuning, id, EndReason::Confirmed, String::new(), 0);
         }
     }
 
-    fn withdraw(&mut self, now: u64, tuning: &Tuning, id: &str, end: End, numbers: &mut Numbering) {
-        let Some(life) = self.lives.remove(id) else { return };
-        let free_at = match life.permit.holder {
+    fn end_instance(
+        &mut self,
+        now: u64,
+        tuning: &Tuning,
+        id: &str,
+        reason: EndReason,
+        sequence: &mut Sequence,
+    ) {
+        let Some(instance) = self.instances.remove(id) else { return };
+        let permit_free_at = match instance.permit.holder {
             Some(_) => now + tuning.permit_gap_ms,
-            None => life.permit.free_at,
+            None => instance.permit.free_at,
         };
-        self.forget(now, tuning, id, end, life.line.address, free_at);
-        self.tell_gone(id, numbers);
+        self.remember_end(now, tuning, id, reason, instance.line.address, permit_free_at);
+        self.publish_removal(id, sequence);
     }
 
-    /// A life is not in the table any more: who follows is told.
-    fn tell_gone(&mut self, id: &str, numbers: &mut Numbering) {
-        self.changed = numbers.next();
-        self.gone.push_back((self.changed, id.to_string()));
-        if self.gone.len() > MOST_GONE {
-            if let Some((at, _)) = self.gone.pop_front() {
-                self.floor = at;
+    /// Publishes that an instance is not in the table any more.
+    fn publish_removal(&mut self, id: &str, sequence: &mut Sequence) {
+        self.changed_seq = sequence.next();
+        self.removed.push_back((self.changed_seq, id.to_string()));
+        if self.removed.len() > MAX_REMOVED {
+            if let Some((seq, _)) = self.removed.pop_front() {
+                self.oldest_seq = seq;
             }
         }
     }
 
-    /// Remembers that a life is over.
-    fn forget(&mut self, now: u64, tuning: &Tuning, id: &str, end: End, address: String, free_at: u64) {
-        self.past.insert(id.to_string(), Past { end, address, until: now + tuning.ended_ms, free_at });
-        if self.past.len() > MOST_PAST {
-            let oldest = self.past.iter().min_by_key(|(_, past)| past.until).map(|(id, _)| id.clone());
-            oldest.map(|id| self.past.remove(&id));
+    /// Remembers that an instance has ended.
+    fn remember_end(
+        &mut self,
+        now: u64,
+        tuning: &Tuning,
+        id: &str,
+        reason: EndReason,
+        address: String,
+        permit_free_at: u64,
+    ) {
+        let former = FormerInstance { reason, address, until: now + tuning.ended_ms, permit_free_at };
+        self.former.insert(id.to_string(), former);
+        if self.former.len() > MAX_FORMER {
+            let oldest = self.former.iter().min_by_key(|(_, former)| former.until).map(|(id, _)| id.clone());
+            oldest.map(|id| self.former.remove(&id));
         }
     }
 
-    /// This machine stood still for `pause`: nobody was silent in that time.
-    pub(crate) fn stood_still(&mut self, now: u64, pause: u64) {
-        for life in self.lives.values_mut() {
-            life.heard = now.min(life.heard + pause);
+    /// This process was suspended for `pause`, which doesn't count as silence of any server.
+    pub(crate) fn discount_pause(&mut self, now: u64, pause: u64) {
+        for instance in self.instances.values_mut() {
+            instance.last_heartbeat = now.min(instance.last_heartbeat + pause);
         }
     }
 
-    /// Withdraws lives that were silent for too long, unless most are: then this machine was cut off.
-    pub(crate) fn expire(&mut self, now: u64, tuning: &Tuning, numbers: &mut Numbering) -> Vec<String> {
-        self.past.retain(|_, past| now < past.until);
-        let silence = |life: &Life| now.saturating_sub(life.heard);
-        // Lives that fell silent together are up to a heartbeat apart.
-        let missing = tuning.missing_ms();
-        let silent = self.lives.values().filter(|life| silence(life) > missing).count();
-        if silent * 2 > self.lives.len() {
-            // When the first are back the others get their time, too.
-            self.patient_until = now + tuning.silence_ms;
+    /// Removes instances that were silent for too long, and returns their ids. While most are silent the longer bound
+    /// applies, because then this machine was probably cut off.
+    pub(crate) fn expire(&mut self, now: u64, tuning: &Tuning, sequence: &mut Sequence) -> Vec<String> {
+        self.former.retain(|_, former| now < former.until);
+        let silence = |instance: &Instance| now.saturating_sub(instance.last_heartbeat);
+        // The last heartbeats of instances that became silent together are up to one heartbeat interval apart.
+        let report_bound = tuning.silence_report_ms();
+        let silent = self.instances.values().filter(|instance| silence(instance) > report_bound).count();
+        if silent * 2 > self.instances.len() {
+            // Extended, so that after the first instances have returned the others still have time to do so.
+            self.mass_silence_until = now + tuning.silence_ms;
         }
-        let bound = if now < self.patient_until { tuning.mass_silence_ms } else { tuning.silence_ms };
-        let over =
-            |(id, life): (&String, &Life)| (silence(life) > bound).then(|| (id.clone(), life.call_seq));
-        let over: Vec<(String, Option<u64>)> = self.lives.iter().filter_map(over).collect();
-        for (id, call_seq) in &over {
-            self.withdraw(now, tuning, id, End::Silent(*call_seq), numbers);
+        let bound = if now < self.mass_silence_until { tuning.mass_silence_ms } else { tuning.silence_ms };
+        let expired = |(id, instance): (&String, &Instance)| {
+            (silence(instance) > bound).then(|| (id.clone(), instance.call_seq))
+        };
+        let expired: Vec<(String, Option<u64>)> = self.instances.iter().filter_map(expired).collect();
+        for (id, call_seq) in &expired {
+            self.end_instance(now, tuning, id, EndReason::Silent(*call_seq), sequence);
         }
-        over.into_iter().map(|(id, _)| id).collect()
+        expired.into_iter().map(|(id, _)| id).collect()
     }
 
-    /// The evacuation of these zones was withdrawn: their servers may have turned cold.
-    pub(crate) fn hold(
+    /// The evacuation of these zones was withdrawn. Their servers may have turned cold, so their warmth is unknown until
+    /// their next heartbeat.
+    pub(crate) fn await_warmth(
         &mut self,
         now: u64,
         tuning: &Tuning,
         zones: &BTreeSet<&String>,
-        numbers: &mut Numbering,
+        sequence: &mut Sequence,
     ) {
-        for life in self.lives.values_mut().filter(|life| zones.contains(&life.line.zone)) {
-            life.warmth = Warmth::Held(now + tuning.hold_margin_ms);
-            if life.publish_warmth(numbers) {
-                self.changed = life.changed;
+        for instance in self.instances.values_mut().filter(|instance| zones.contains(&instance.line.zone)) {
+            instance.warmth = Warmth::Unknown(now + tuning.hold_margin_ms);
+            if instance.publish_warmth(sequence) {
+                self.changed_seq = instance.changed_seq;
             }
         }
     }
 
-    /// Lets cold servers get warm by time, and moves permits whose holders are out of reach.
-    pub(crate) fn warm(&mut self, now: u64, tuning: &Tuning, gateways: &Gateways, numbers: &mut Numbering) {
-        for life in self.lives.values_mut() {
-            if matches!(life.warmth, Warmth::Cold(until) if now >= until) {
-                life.warmth = Warmth::Warm;
+    /// Marks cold servers as warm whose cold time is over, and moves permits whose holders are disconnected.
+    pub(crate) fn update_warmth(
+        &mut self,
+        now: u64,
+        tuning: &Tuning,
+        gateways: &Gateways,
+        sequence: &mut Sequence,
+    ) {
+        for instance in self.instances.values_mut() {
+            if matches!(instance.warmth, Warmth::Cold(until) if now >= until) {
+                instance.warmth = Warmth::Warm;
             }
         }
-        self.assign(now, tuning, gateways, None, numbers);
+        self.assign_permits(now, tuning, gateways, None, sequence);
     }
 
-    /// Sees to the permits, of all lives or of `only` one, and publishes their warmth.
-    fn assign(
+    /// Withdraws and assigns permits, of all instances or of `only` one, and publishes the result with their warmth.
+    fn assign_permits(
         &mut self,
         now: u64,
         tuning: &Tuning,
         gateways: &Gateways,
         only: Option<&str>,
-        numbers: &mut Numbering,
+        sequence: &mut Sequence,
     ) {
-        let mut wanting = Vec::new();
-        let lives = self.lives.iter_mut().filter(|(id, _)| only.is_none_or(|only| only == id.as_str()));
-        for (id, life) in lives {
-            if matches!(life.warmth, Warmth::Cold(_)) {
-                let permit = &mut life.permit;
+        let mut without_permit = Vec::new();
+        let selected =
+            self.instances.iter_mut().filter(|(id, _)| only.is_none_or(|only| only == id.as_str()));
+        for (id, instance) in selected {
+            if matches!(instance.warmth, Warmth::Cold(_)) {
+                let permit = &mut instance.permit;
                 if permit.holder.as_ref().is_some_and(|name| !gateways.keeps_permit(now, tuning, name)) {
                     *permit = Permit { holder: None, free_at: now + tuning.permit_gap_ms };
                 }
                 if permit.holder.is_none()
                     && now >= permit.free_at
-                    && life.line.state == ServerState::InService
+                    && instance.line.state == ServerState::InService
                 {
-                    wanting.push(id.clone());
+                    without_permit.push(id.clone());
                     continue;
                 }
             }
-            if life.publish_warmth(numbers) {
-                self.changed = life.changed;
+            if instance.publish_warmth(sequence) {
+                self.changed_seq = instance.changed_seq;
             }
         }
-        if wanting.is_empty() {
+        if without_permit.is_empty() {
             return;
         }
-        let mut load: BTreeMap<String, usize> = BTreeMap::new();
-        for life in self.lives.values().filter(|life| matches!(life.warmth, Warmth::Cold(_))) {
-            if let Some(holder) = &life.permit.holder {
-                *load.entry(holder.clone()).or_default() += 1;
+        let mut permit_counts: BTreeMap<String, usize> = BTreeMap::new();
+        for instance in self.instances.values().filter(|instance| matches!(instance.warmth, Warmth::Cold(_)))
+        {
+            if let Some(holder) = &instance.permit.holder {
+                *permit_counts.entry(holder.clone()).or_default() += 1;
             }
         }
-        for id in wanting {
-            let Some(life) = self.lives.get_mut(&id) else { continue };
-            life.permit.holder = nearest(now, tuning, gateways, &id, &life.line.zone, &load);
-            if let Some(holder) = &life.permit.holder {
-                *load.entry(holder.clone()).or_default() += 1;
+        for id in without_permit {
+            let Some(instance) = self.instances.get_mut(&id) else { continue };
+            let holder = choose_holder(now, tuning, gateways, &id, &instance.line.zone, &permit_counts);
+            instance.permit.holder = holder;
+            if let Some(holder) = &instance.permit.holder {
+                *permit_counts.entry(holder.clone()).or_default() += 1;
             }
-            if life.publish_warmth(numbers) {
-                self.changed = life.changed;
+            if instance.publish_warmth(sequence) {
+                self.changed_seq = instance.changed_seq;
             }
         }
     }
 
-    /// How many there are.
+    /// Number of instances.
     pub(crate) fn count(&self) -> usize {
-        self.lives.len()
+        self.instances.len()
     }
 
     /// The published lines.
     pub(crate) fn lines(&self) -> impl Iterator<Item = &ServerLine> {
-        self.lives.values().map(|life| &life.line)
+        self.instances.values().map(|instance| &instance.line)
     }
 
-    /// How each stands.
-    pub(crate) fn standings(&self, now: u64, tuning: &Tuning) -> Vec<ServerStatus> {
-        let standing = |life: &Life| {
-            let silent_ms = now.saturating_sub(life.heard);
-            let silent_ms = (silent_ms > tuning.missing_ms()).then_some(silent_ms);
-            ServerStatus { line: life.line.clone(), silent_ms }
+    /// Status of each instance.
+    pub(crate) fn statuses(&self, now: u64, tuning: &Tuning) -> Vec<ServerStatus> {
+        let status = |instance: &Instance| {
+            let silent_ms = now.saturating_sub(instance.last_heartbeat);
+            let silent_ms = (silent_ms > tuning.silence_report_ms()).then_some(silent_ms);
+            ServerStatus { line: instance.line.clone(), silent_ms }
         };
-        self.lives.values().map(standing).collect()
+        self.instances.values().map(status).collect()
     }
 
-    /// Number of the last change that must not wait: of all but arrivals.
-    pub(crate) fn pressing_at(&self) -> u64 {
-        let (arrived_at, others) = self.arrival;
-        if self.changed == arrived_at {
-            others
+    /// Sequence number of the last change that must be sent at once. These are all changes but registrations.
+    pub(crate) fn urgent_seq(&self) -> u64 {
+        if self.changed_seq == self.registered_seq {
+            self.urgent_before_registered
         } else {
-            self.changed
+            self.changed_seq
         }
     }
 
-    /// Differences from `since` on can be told.
-    pub(crate) fn follows(&self, since: u64) -> bool {
-        since >= self.floor
+    /// Whether the changes after `since` are still available as differences.
+    pub(crate) fn has_differences_since(&self, since: u64) -> bool {
+        since >= self.oldest_seq
     }
 
-    /// All lines.
-    pub(crate) fn all(&self) -> Vec<ServerLine> {
+    /// Copies of all published lines.
+    pub(crate) fn cloned_lines(&self) -> Vec<ServerLine> {
         self.lines().cloned().collect()
     }
 
-    /// Ids of all lives that went under this leader and have not come back.
-    pub(crate) fn all_gone(&self) -> Vec<String> {
-        let gone = self.gone.iter().filter(|(_, id)| !self.lives.contains_key(id));
-        gone.map(|(_, id)| id.clone()).collect()
+    /// Ids of instances that were removed under this leader and have not registered again.
+    pub(crate) fn removed_ids(&self) -> Vec<String> {
+        let removed = self.removed.iter().filter(|(_, id)| !self.instances.contains_key(id));
+        removed.map(|(_, id)| id.clone()).collect()
     }
 
-    /// What changed after `since`, each life once, in its last state.
-    pub(crate) fn since(&self, since: u64, answer: &mut WatchAnswer) {
-        if self.changed <= since {
+    /// Adds to `answer` what changed after `since`: each instance once, with its newest line.
+    pub(crate) fn add_changes(&self, since: u64, answer: &mut WatchAnswer) {
+        if self.changed_seq <= since {
             return;
         }
-        let fresh = self.lives.values().filter(|life| life.changed > since);
-        answer.servers = fresh.map(|life| life.line.clone()).collect();
-        let gone = self.gone.iter().rev().take_while(|(at, _)| *at > since);
-        // A life that went and came back is among the fresh.
-        answer.gone = gone.filter(|(_, id)| !self.lives.contains_key(id)).map(|(_, id)| id.clone()).collect();
+        let changed = self.instances.values().filter(|instance| instance.changed_seq > since);
+        answer.servers = changed.map(|instance| instance.line.clone()).collect();
+        let removed = self.removed.iter().rev().take_while(|(seq, _)| *seq > since);
+        // An instance that was removed and registered again is among the changed ones.
+        let removed = removed.filter(|(_, id)| !self.instances.contains_key(id));
+        answer.gone = removed.map(|(_, id)| id.clone()).collect();
     }
 }
 
@@ -594,29 +635,30 @@
     }
 }
 
-/// The gateway to get the permit for a cold server: of its zone, else of its region, else any; of these one that holds
-/// fewest, and of those one by a hash, so that servers spread over gateways and leaders agree.
-fn nearest(
+/// The gateway that receives the permit for a cold server: one in its zone, else in its region, else any. Among these
+/// one that holds the fewest permits, and among those the one with the lowest hash. The hash spreads servers over
+/// gateways and is the same on all leaders.
+fn choose_holder(
     now: u64,
     tuning: &Tuning,
     gateways: &Gateways,
     id: &str,
     zone: &str,
-    load: &BTreeMap<String, usize>,
+    permit_counts: &BTreeMap<String, usize>,
 ) -> Option<String> {
     let region = tuning.zones.get(zone);
-    let place = |(name, there): (&str, &str)| {
-        let distance = match there == zone {
+    let rank = |(name, gateway_zone): (&str, &str)| {
+        let distance = match gateway_zone == zone {
             true => 0,
-            false if region.is_some() && tuning.zones.get(there) == region => 1,
+            false if region.is_some() && tuning.zones.get(gateway_zone) == region => 1,
             false => 2,
         };
-        (distance, load.get(name).copied().unwrap_or(0), hash(id, name))
+        (distance, permit_counts.get(name).copied().unwrap_or(0), hash(id, name))
     };
-    gateways.ready(now).min_by_key(|gateway| place(*gateway)).map(|(name, _)| name.to_string())
+    gateways.ready(now).min_by_key(|gateway| rank(*gateway)).map(|(name, _)| name.to_string())
 }
 
-/// FNV-1a of both, 64 bits.
+/// 64-bit FNV-1a of both strings.
 fn hash(id: &str, name: &str) -> u64 {
     let bytes = id.bytes().chain([0]).chain(name.bytes());
     bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
