--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! The configuration as an immutable table, compiled once a version: which route, tenant and homes a request has.
-//! Gateways go by it, and `njctl explain` tells of it.
+//! The configuration as an immutable table, compiled once per version: the route, tenant and home regions of a request.
+//! Gateways route requests by it, and `njctl explain` shows it.
 
 use nickeljunction_schema::{Config, Limits, RouteType};
 use std::borrow::Cow;
@@ -7,16 +7,16 @@
 
 type Map<K, V> = hashbrown::HashMap<K, V, ahash::RandomState>;
 
-/// What a client may send, and how long it may take.
+/// Limits for the size and duration of a client's requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Longest head, bytes.
+    /// Maximum size of a request head, bytes.
     pub head: usize,
-    /// Longest body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body: u64,
-    /// Longest time from the first byte of a head to its last, and between two parts of a body, ms.
+    /// Maximum time from the first byte of a head to its last, and between two parts of a body, ms.
     pub head_ms: f64,
-    /// Longest time without a request, ms.
+    /// Maximum time that a connection may be without a request, ms.
     pub idle_ms: f64,
 }
 
@@ -31,120 +31,126 @@
     }
 }
 
-/// A route.
+/// A compiled route.
 #[derive(Debug)]
 pub struct Route {
     /// Its name in the configuration.
     pub name: Box<str>,
-    /// A try may run more than once.
+    /// A request may be executed more than once.
     pub repeatable: bool,
-    /// Tries that carry the same `X-Operation-Key` are one operation, which runs at most once.
+    /// Requests with the same `X-Operation-Key` are one operation, which is executed at most once.
     pub keyed: bool,
-    /// Answers are large: they are passed on as they come, and break off where their server's do.
+    /// Responses are large: they are streamed to the client, and break off if the server's response does.
     pub large_answers: bool,
-    /// Longest time that a request is held, ms.
+    /// Maximum time that a gateway holds a request, ms.
     pub timeout_ms: f64,
-    /// Full worth is earned within this time, ms.
+    /// A response within this time has its full value to the client, ms.
     pub aim_ms: f64,
-    /// Most servers that one try may be sent to, 1 at least.
+    /// Maximum number of servers to which one request may be sent, at least 1.
     pub max_attempts: u32,
-    /// Requests need no key.
+    /// Requests need no API key.
     pub open: bool,
-    /// In which order its requests give way where their tenant is slowed: 1 first, 2 later, 3 never.
+    /// In which order the route's requests are held back when their tenant is slowed down: 1 first, 2 later, 3 never.
     pub gives_way: u32,
     priority: u32,
+    /// Services with their weights, all above 0.
     shares: Box<[(Rc<str>, f64)]>,
+    /// Index into [`Homes::lists`].
     homes: usize,
 }
 
 impl Route {
-    /// Its services with their parts of all requests, which add up to 1.
+    /// The route's services, each with its share of all requests. The shares add up to 1.
     pub fn parts(&self) -> impl Iterator<Item = (&str, f64)> + '_ {
         let total = self.shares.iter().map(|(_, weight)| weight).sum::<f64>();
         self.shares.iter().map(move |(backend, weight)| (&**backend, weight / total))
     }
 
-    /// The service for one request; `lot` is a draw out of 0 to 1, 1 excluded. `None`: no service has a weight.
-    pub fn backend(&self, lot: f64) -> Option<&Rc<str>> {
+    /// The service for one request; `random` is a random number from 0 to 1, 1 excluded. `None`: no service has a
+    /// weight.
+    pub fn backend(&self, random: f64) -> Option<&Rc<str>> {
         let total = self.shares.iter().map(|(_, weight)| weight).sum::<f64>();
-        let mut left = lot * total;
-        // Rounding may leave the draw a hair beyond the last weight: then the last service is meant.
-        let drawn = self.shares.iter().find(|(_, weight)| {
-            left -= weight;
-            left < 0.0
+        let mut remaining = random * total;
+        let chosen = self.shares.iter().find(|(_, weight)| {
+            remaining -= weight;
+            remaining < 0.0
         });
-        drawn.or(self.shares.last()).map(|(backend, _)| backend)
+        // Because of rounding errors the number may exceed the sum of all weights slightly.
+        chosen.or(self.shares.last()).map(|(backend, _)| backend)
     }
 }
 
-/// Who holds a key.
+/// The owner of one or more API keys.
 #[derive(Debug)]
 pub struct Tenant {
-    /// Its name.
+    /// Its name in the configuration.
     pub name: Rc<str>,
     priority: Option<u32>,
+    /// Index into [`Homes::lists`].
     homes: usize,
 }
 
 #[derive(Debug, Default)]
 struct Host {
-    /// Routes by prefix, for prefixes that end in a slash, as all should.
-    whole: Map<Box<str>, Rc<Route>>,
-    /// The others, longest first.
-    odd: Vec<(Box<str>, Rc<Route>)>,
+    /// Routes by prefix, for prefixes that end in a slash, as all prefixes should.
+    slash_prefixes: Map<Box<str>, Rc<Route>>,
+    /// Routes with other prefixes, longest prefix first.
+    other_prefixes: Vec<(Box<str>, Rc<Route>)>,
 }
 
-/// What a table says of a host and a path.
+/// The result of looking up the route for a host and a path.
 #[derive(Debug, Clone)]
 pub enum RouteMatch {
-    /// A route.
+    /// The matching route.
     Route(Rc<Route>),
-    /// There is none.
+    /// No route matches.
     NotFound,
-    /// No configuration has come yet: nobody knows.
+    /// No configuration has been received yet, so it is not known whether a route matches.
     NotLoaded,
 }
 
-/// Routes that want a key and tenants whose homes have no region in common: nobody may serve such requests.
+/// Pairs of a route that needs a key and a tenant whose homes have no region in common, so that no region may serve
+/// such requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DisjointHomes {
-    /// How many pairs of a route and a tenant.
+    /// Number of such pairs.
     pub pairs: usize,
-    /// The first of these routes by name, and the first of its tenants.
+    /// The first of these routes by name.
     pub route: Box<str>,
-    /// See `route`.
+    /// The first tenant by name that has no home in common with `route`.
     pub tenant: Box<str>,
 }
 
-/// A configuration, compiled.
+/// A compiled configuration.
 #[derive(Debug)]
 pub struct Table {
-    /// Its version; 0: none has come yet.
+    /// Version of the configuration; 0: none has been received yet.
     pub version: u64,
-    /// What a client may send.
+    /// Limits for requests of clients.
     pub bounds: Bounds,
     hosts: Map<Box<str>, Host>,
-    keys: Map<Box<str>, Rc<Tenant>>,
-    keyed: bool,
+    tenants_by_key: Map<Box<str>, Rc<Tenant>>,
+    has_tenants: bool,
     homes: Homes,
-    apart: Option<DisjointHomes>,
+    disjoint_homes: Option<DisjointHomes>,
 }
 
 impl Table {
-    /// The table before any configuration has come.
+    /// The table before any configuration has been received.
     pub fn empty() -> Table {
         Table::of(&Config::default())
     }
 
-    /// Compiles a configuration that has been checked.
+    /// Compiles a valid configuration.
     pub fn of(config: &Config) -> Table {
         let mut homes = Homes::default();
-        let mut names: Map<&str, Rc<str>> = Map::default();
+        // Routes to the same service share its name.
+        let mut backend_names: Map<&str, Rc<str>> = Map::default();
         let mut hosts: Map<Box<str>, Host> = Map::default();
         for (name, route) in &config.routes {
             let shares = route.shares().filter(|(_, weight)| *weight > 0.0);
             let shares = shares.map(|(backend, weight)| {
-                (names.entry(backend).or_insert_with(|| Rc::from(backend)).clone(), weight)
+                (backend_names.entry(backend).or_insert_with(|| Rc::from(backend)).clone(), weight)
             });
             let compiled = Rc::new(Route {
                 name: name.as_str().into(),
@@ -160,76 +166,78 @@
                 shares: shares.collect(),
                 homes: homes.index(&route.home_regions),
             });
-            let host = hosts.entry(plain_host(&route.hostname).into()).or_default();
+            let host = hosts.entry(normalized_host(&route.hostname).into()).or_default();
             match route.path_prefix.ends_with('/') {
-                true => drop(host.whole.insert(route.path_prefix.as_str().into(), compiled)),
-                false => host.odd.push((route.path_prefix.as_str().into(), compiled)),
+                true => drop(host.slash_prefixes.insert(route.path_prefix.as_str().into(), compiled)),
+                false => host.other_prefixes.push((route.path_prefix.as_str().into(), compiled)),
             }
         }
         for host in hosts.values_mut() {
-            host.odd.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
+            host.other_prefixes.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
         }
-        let mut keys: Map<Box<str>, Rc<Tenant>> = Map::default();
+        let mut tenants_by_key: Map<Box<str>, Rc<Tenant>> = Map::default();
         for (name, tenant) in &config.tenants {
             let homes = homes.index(&tenant.home_regions);
-            let holder = Rc::new(Tenant { name: name.as_str().into(), priority: tenant.priority, homes });
-            keys.extend(tenant.api_keys.iter().map(|key| (key.as_str().into(), holder.clone())));
+            let compiled = Rc::new(Tenant { name: name.as_str().into(), priority: tenant.priority, homes });
+            let keys = tenant.api_keys.iter();
+            tenants_by_key.extend(keys.map(|key| (key.as_str().into(), compiled.clone())));
         }
-        homes.meet();
-        let apart = homes.apart(config);
-        let keyed = config.has_tenants();
+        homes.intersect_all();
+        let disjoint_homes = homes.find_disjoint(config);
         Table {
             version: config.config_version,
             bounds: Bounds::of(&config.limits),
             hosts,
-            keys,
-            keyed,
+            tenants_by_key,
+            has_tenants: config.has_tenants(),
             homes,
-            apart,
+            disjoint_homes,
         }
     }
 
-    /// What nobody may serve, if anything: most likely a slip of who wrote the configuration.
+    /// Requests that no region may serve, if there are any: most likely a mistake in the configuration.
     pub fn disjoint_homes(&self) -> Option<&DisjointHomes> {
-        self.apart.as_ref()
+        self.disjoint_homes.as_ref()
     }
 
-    /// The route for a `Host` line (letters' case and port don't count) and a path without its query: the one with the
-    /// longest prefix.
+    /// The route with the longest prefix that matches. `host` is the value of a `Host` header, of which case and port
+    /// are ignored; `path` comes without its query.
     pub fn find(&self, host: &str, path: &str) -> RouteMatch {
         if self.version == 0 {
             return RouteMatch::NotLoaded;
         }
-        let Some(host) = self.hosts.get(&*plain_host(host)) else { return RouteMatch::NotFound };
-        let odd = host.odd.iter().find(|(prefix, _)| path.starts_with(&**prefix));
-        let least = odd.map_or(0, |(prefix, _)| prefix.len());
-        let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/').map(|(at, _)| at + 1);
-        let whole = slashes.take_while(|end| *end > least).find_map(|end| host.whole.get(&path[..end]));
-        match whole.or(odd.map(|(_, route)| route)) {
+        let Some(host) = self.hosts.get(&*normalized_host(host)) else { return RouteMatch::NotFound };
+        let other = host.other_prefixes.iter().find(|(prefix, _)| path.starts_with(&**prefix));
+        let other_len = other.map_or(0, |(prefix, _)| prefix.len());
+        let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
+        let mut ends = slashes.map(|(index, _)| index + 1).take_while(|end| *end > other_len);
+        let longer = ends.find_map(|end| host.slash_prefixes.get(&path[..end]));
+        match longer.or(other.map(|(_, route)| route)) {
             Some(route) => RouteMatch::Route(route.clone()),
             None => RouteMatch::NotFound,
         }
     }
 
-    /// All routes of a host with their prefixes, the longest first: [`Table::find`] takes the first one whose prefix
-    /// begins the path.
+    /// All routes of a host with their prefixes, the longest first: [`Table::find`] returns the first one whose prefix
+    /// matches the path.
     pub fn candidates(&self, host: &str) -> Vec<(&str, &Rc<Route>)> {
-        let Some(host) = self.hosts.get(&*plain_host(host)) else { return Vec::new() };
-        let odd = host.odd.iter().map(|(prefix, route)| (&**prefix, route));
-        let whole = host.whole.iter().map(|(prefix, route)| (&**prefix, route));
-        let mut all: Vec<_> = whole.chain(odd).collect();
-        all.sort_by_key(|(prefix, _)| (std::cmp::Reverse(prefix.len()), *prefix));
-        all
+        let Some(host) = self.hosts.get(&*normalized_host(host)) else { return Vec::new() };
+        let slash = host.slash_prefixes.iter().map(|(prefix, route)| (&**prefix, route));
+        let other = host.other_prefixes.iter().map(|(prefix, route)| (&**prefix, route));
+        let mut routes: Vec<_> = slash.chain(other).collect();
+        routes.sort_by_key(|(prefix, _)| (std::cmp::Reverse(prefix.len()), *prefix));
+        routes
     }
 
-    /// Regions that are a home of each of a host's routes with homes; `None`: none of its routes has any. Before a
-    /// configuration is known no region is taken for a home.
+    /// Regions that are a home of every route of the host that has homes; `None`: no route of the host has any. Before a
+    /// configuration has been received the list is empty.
     pub fn host_homes(&self, host: &str) -> Option<Vec<String>> {
         if self.version == 0 {
             return Some(Vec::new());
         }
-        let host = self.hosts.get(&*plain_host(host))?;
-        let routes = host.whole.values().chain(host.odd.iter().map(|(_, route)| route));
+        let host = self.hosts.get(&*normalized_host(host))?;
+        let other_routes = host.other_prefixes.iter().map(|(_, route)| route);
+        let routes = host.slash_prefixes.values().chain(other_routes);
         let mut lists = routes.filter(|route| route.homes != 0).map(|route| &self.homes.lists[route.homes]);
         let mut common = lists.next()?.to_vec();
         for list in lists {
@@ -238,18 +246,18 @@
         Some(common)
     }
 
-    /// Requests on this route need a key.
+    /// Whether requests on this route need an API key.
     pub fn requires_key(&self, route: &Route) -> bool {
-        self.keyed && !route.open
+        self.has_tenants && !route.open
     }
 
-    /// The tenant that holds a key.
+    /// The tenant to which an API key belongs.
     pub fn tenant_by_key(&self, key: &str) -> Option<&Rc<Tenant>> {
-        self.keys.get(key)
+        self.tenants_by_key.get(key)
     }
 
-    /// Regions that may serve a request on this route of this tenant; empty: any. Where both have homes both bind;
-    /// `None`: they have none in common, nobody may serve it.
+    /// Regions that may serve requests of this tenant on this route; empty: all regions. If both have homes, only their
+    /// common homes are allowed; `None`: they have none in common, so no region may serve the request.
     pub fn homes(&self, route: &Route, tenant: Option<&Tenant>) -> Option<Rc<[String]>> {
         match (route.homes, tenant.map_or(0, |tenant| tenant.homes)) {
             (one, 0) | (0, one) => self.homes.lists.get(one).cloned(),
@@ -259,12 +267,14 @@
     }
 }
 
-/// A region's servers may serve requests with these homes. One in a region that isn't known is at home nowhere.
+/// Whether servers in `region` may serve requests with these homes. Servers whose region is unknown (empty) may serve
+/// only requests without homes.
 pub fn region_allowed(region: &str, homes: &[String]) -> bool {
     homes.is_empty() || (!region.is_empty() && homes.iter().any(|home| home == region))
 }
 
-/// How near a server is to a gateway, by zone and region of each: 0 in the own zone, 1 in the own region, 2 elsewhere.
+/// Distance between a server and a gateway, each given by zone and region: 0 in the same zone, 1 in the same region, 2
+/// otherwise.
 pub fn distance(server: (&str, &str), gateway: (&str, &str)) -> u8 {
     match () {
         () if server.0 == gateway.0 => 0,
@@ -273,17 +283,17 @@
     }
 }
 
-/// Rank of a request, 0 the highest: its tenant's goes before its route's.
+/// Priority of a request, 0 the highest: that of its tenant if it has one, otherwise that of its route.
 pub fn priority(route: &Route, tenant: Option<&Tenant>) -> u32 {
     tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority)
 }
 
-/// Every list of homes once: requests with the same homes share them.
+/// Lists of home regions. Each distinct list is stored once, so that requests with the same homes share it.
 #[derive(Debug)]
 struct Homes {
-    /// The first is empty: any region.
+    /// The first list is empty, which allows all regions.
     lists: Vec<Rc<[String]>>,
-    /// What two lists have in common, by their places; absent: nothing.
+    /// Common regions of two lists, by the indices of the lists; absent: there are none.
     common: Map<(usize, usize), Rc<[String]>>,
 }
 
@@ -294,7 +304,7 @@
 }
 
 impl Homes {
-    /// The place of a list, whatever its order.
+    /// Index of the list with these regions in any order; adds it if necessary.
     fn index(&mut self, regions: &[String]) -> usize {
         let mut regions = regions.to_vec();
         regions.sort();
@@ -305,49 +315,51 @@
         })
     }
 
-    /// Routes and tenants that have no home in common; after [`Homes::meet`]. There are few lists, whatever the number of
-    /// routes.
-    fn apart(&mut self, config: &Config) -> Option<DisjointHomes> {
+    /// Finds routes and tenants that have no home in common. Must be called after [`Homes::intersect_all`]. Compares
+    /// lists rather than pairs of routes and tenants, because there are few lists however many routes there are.
+    fn find_disjoint(&mut self, config: &Config) -> Option<DisjointHomes> {
+        // By list: the number of tenants that have it, and the first of them by name.
         let mut tenants: Map<usize, (usize, &str)> = Map::default();
         for (name, tenant) in &config.tenants {
-            let same = tenants.entry(self.index(&tenant.home_regions)).or_insert((0, name));
-            same.0 += 1;
+            let same_list = tenants.entry(self.index(&tenant.home_regions)).or_insert((0, name));
+            same_list.0 += 1;
         }
-        let mut apart: Option<DisjointHomes> = None;
+        let mut disjoint_homes: Option<DisjointHomes> = None;
         for (name, route) in config.routes.iter().filter(|(_, route)| !route.no_auth) {
             let homes = self.index(&route.home_regions);
-            let strange = |other: usize| {
+            let is_disjoint = |other: usize| {
                 homes != 0 && other != 0 && homes != other && !self.common.contains_key(&(homes, other))
             };
-            let strangers = tenants.iter().filter(|(other, _)| strange(**other)).map(|(_, same)| *same);
-            let Some((pairs, tenant)) = strangers.reduce(|one, other| (one.0 + other.0, one.1.min(other.1)))
+            let disjoint =
+                tenants.iter().filter(|(other, _)| is_disjoint(**other)).map(|(_, same_list)| *same_list);
+            let Some((pairs, tenant)) = disjoint.reduce(|one, other| (one.0 + other.0, one.1.min(other.1)))
             else {
                 continue;
             };
             let first = || DisjointHomes { pairs: 0, route: name.as_str().into(), tenant: tenant.into() };
-            apart.get_or_insert_with(first).pairs += pairs;
+            disjoint_homes.get_or_insert_with(first).pairs += pairs;
         }
-        apart
+        disjoint_homes
     }
 
-    /// Finds what each two lists have in common.
-    fn meet(&mut self) {
-        let named = self.lists.len();
-        for one in 1..named {
-            for other in 1..named {
-                let both = self.lists[one].iter().filter(|region| self.lists[other].contains(region));
-                let both: Vec<String> = both.cloned().collect();
-                if one != other && !both.is_empty() {
-                    let at = self.index(&both);
-                    self.common.insert((one, other), self.lists[at].clone());
+    /// Computes the common regions of each two lists.
+    fn intersect_all(&mut self) {
+        let list_count = self.lists.len();
+        for one in 1..list_count {
+            for other in 1..list_count {
+                let common = self.lists[one].iter().filter(|region| self.lists[other].contains(region));
+                let common: Vec<String> = common.cloned().collect();
+                if one != other && !common.is_empty() {
+                    let index = self.index(&common);
+                    self.common.insert((one, other), self.lists[index].clone());
                 }
             }
         }
     }
 }
 
-/// A host's name without port and closing dot, in small letters.
-fn plain_host(host: &str) -> Cow<'_, str> {
+/// A host name in lower case, without port and trailing dot.
+fn normalized_host(host: &str) -> Cow<'_, str> {
     let name = match host.strip_prefix('[').and_then(|rest| rest.find(']')) {
         Some(end) => &host[..end + 2],
         None => host.split(':').next().unwrap_or_default(),
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -1,4 +1,4 @@
-//! Matching of routes, tenants and homes.
+//! Lookup of routes, tenants and home regions.
 
 use super::*;
 use nickeljunction_schema::Document;
@@ -14,76 +14,76 @@
     Table::of(Document::read(text).expect("valid").config())
 }
 
-fn named(table: &Table, host: &str, path: &str) -> String {
+fn route_name(table: &Table, host: &str, path: &str) -> String {
     match table.find(host, path) {
         RouteMatch::Route(route) => route.name.to_string(),
-        RouteMatch::NotFound => "-".to_string(),
-        RouteMatch::NotLoaded => "?".to_string(),
+        RouteMatch::NotFound => "not found".to_string(),
+        RouteMatch::NotLoaded => "not loaded".to_string(),
     }
 }
 
 #[test]
-fn the_longest_prefix_wins_whatever_the_hosts_letters_and_port() {
+fn the_longest_prefix_wins_and_case_and_port_of_the_host_are_ignored() {
     let table = table();
-    for (host, path, wanted) in [
+    for (host, path, expected) in [
         ("one.example", "/x/y/z", "deep"),
         ("ONE.example.:8080", "/x/y/", "deep"),
         ("one.example", "/x/y", "root"),
         ("one.example:80", "/xx/y/z", "root"),
-        ("two.example", "/y/x/", "-"),
-        ("two.example", "/x", "-"),
-        ("three.example", "/x/y/z", "-"),
+        ("two.example", "/y/x/", "not found"),
+        ("two.example", "/x", "not found"),
+        ("three.example", "/x/y/z", "not found"),
     ] {
-        assert_eq!(named(&table, host, path), wanted, "{host} {path}");
+        assert_eq!(route_name(&table, host, path), expected, "{host} {path}");
         let candidates = table.candidates(host);
         let first = candidates.iter().find(|(prefix, _)| path.starts_with(prefix));
-        assert_eq!(first.map_or("-", |(_, route)| &route.name), wanted, "{host} {path}");
+        assert_eq!(first.map_or("not found", |(_, route)| &route.name), expected, "{host} {path}");
     }
-    assert_eq!(named(&Table::empty(), "one.example", "/"), "?");
+    assert_eq!(route_name(&Table::empty(), "one.example", "/"), "not loaded");
 }
 
 #[test]
-fn a_split_goes_by_weight_and_never_to_a_weight_of_nothing() {
+fn traffic_splits_follow_weights_and_skip_weight_zero() {
     let RouteMatch::Route(route) = table().find("two.example", "/x/1") else { panic!("no route") };
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut drawn = [0; 3];
+    let mut counts = [0; 3];
     for _ in 0..10_000 {
         match &**route.backend(rng.f64()).expect("has weights") {
-            "a" => drawn[0] += 1,
-            "b" => drawn[1] += 1,
-            _ => drawn[2] += 1,
+            "a" => counts[0] += 1,
+            "b" => counts[1] += 1,
+            _ => counts[2] += 1,
         }
     }
-    assert!(drawn[1] == 0 && (800..1200).contains(&drawn[2]), "{drawn:?}");
+    assert!(counts[1] == 0 && (800..1200).contains(&counts[2]), "{counts:?}");
     assert_eq!(route.backend(1.0).map(|backend| &**backend), Some("c"));
 }
 
 #[test]
-fn a_tenant_that_shares_no_home_with_a_route_is_told() {
-    // `deep` is at home in s and r, `u` in q alone; `root` and `v` anywhere.
-    let wanted = DisjointHomes { pairs: 1, route: "deep".into(), tenant: "u".into() };
-    assert_eq!(table().disjoint_homes(), Some(&wanted));
+fn a_tenant_without_a_common_home_with_a_route_is_reported() {
+    // The homes of `deep` are s and r, that of `u` is q. `root` and `v` have none, so all regions are allowed.
+    let expected = DisjointHomes { pairs: 1, route: "deep".into(), tenant: "u".into() };
+    assert_eq!(table().disjoint_homes(), Some(&expected));
     assert_eq!(Table::empty().disjoint_homes(), None);
 }
 
 #[test]
-fn the_homes_of_a_host_are_those_of_all_its_routes_with_homes() {
+fn the_homes_of_a_host_are_common_to_all_its_routes_with_homes() {
     let text = br#"{"config_version":3,"limits":{},"backends":{"a":{}},"routes":{
         "one":{"hostname":"h","path_prefix":"/x/","timeout_s":1,"backend":"a","home_regions":["q","r"]},
         "two":{"hostname":"h","path_prefix":"/y","timeout_s":1,"backend":"a","home_regions":["r","s"]}}}"#;
-    let meeting = Table::of(Document::read(text).expect("valid").config());
-    assert_eq!(meeting.host_homes("H:80"), Some(vec!["r".to_string()]));
+    let overlapping = Table::of(Document::read(text).expect("valid").config());
+    assert_eq!(overlapping.host_homes("H:80"), Some(vec!["r".to_string()]));
     assert_eq!(table().host_homes("one.example"), Some(vec!["r".to_string(), "s".to_string()]));
     assert_eq!((table().host_homes("two.example"), table().host_homes("none")), (None, None));
     assert_eq!(Table::empty().host_homes("two.example"), Some(Vec::new()));
 }
 
 #[test]
-fn homes_of_route_and_tenant_both_bind_and_the_tenants_rank_goes_first() {
+fn homes_of_route_and_tenant_intersect_and_the_tenants_priority_takes_precedence() {
     let table = table();
     let route = |path| match table.find("one.example", path) {
         RouteMatch::Route(route) => route,
-        found => panic!("{found:?}"),
+        other => panic!("no route for {path}: {other:?}"),
     };
     let (root, deep) = (route("/"), route("/x/y/"));
     let homes = |route: &Route, key| {
@@ -95,6 +95,6 @@
     assert_eq!(homes(&deep, "k4").as_deref(), Some("r s"));
     assert_eq!(homes(&root, "k1").as_deref(), Some("q r"));
     assert_eq!(homes(&root, "none").as_deref(), Some(""));
-    let rank = |key| priority(&root, table.tenant_by_key(key).map(|tenant| &**tenant));
-    assert_eq!((rank("k1"), rank("k3"), rank("none")), (1, 4, 4));
+    let priority_of = |key| priority(&root, table.tenant_by_key(key).map(|tenant| &**tenant));
+    assert_eq!((priority_of("k1"), priority_of("k3"), priority_of("none")), (1, 4, 4));
 }
