--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A leader's register on a fake clock, with watchers.
+//! A leader's register on a simulated clock, with servers and gateways that call it.
 
 #![allow(dead_code, missing_docs)]
 
@@ -16,7 +16,7 @@
     Tuning::new(HEARTBEAT_MS, BTreeMap::from(zones.map(|(zone, region)| (zone.into(), region.into()))))
 }
 
-pub fn beat(address: &str, zone: &str, call_seq: u64) -> Heartbeat {
+pub fn heartbeat(address: &str, zone: &str, call_seq: u64) -> Heartbeat {
     Heartbeat {
         address: address.into(),
         backend: "bookdesk".into(),
@@ -29,103 +29,111 @@
     }
 }
 
-pub fn draining(address: &str, zone: &str, call_seq: u64) -> Heartbeat {
-    Heartbeat { state: ServerState::Draining, ..beat(address, zone, call_seq) }
+pub fn draining_heartbeat(address: &str, zone: &str, call_seq: u64) -> Heartbeat {
+    Heartbeat { state: ServerState::Draining, ..heartbeat(address, zone, call_seq) }
 }
 
-pub fn cold(address: &str, zone: &str, call_seq: u64, warmup_left_ms: u64) -> Heartbeat {
-    Heartbeat { warmup_left_ms, ..beat(address, zone, call_seq) }
+pub fn cold_heartbeat(address: &str, zone: &str, call_seq: u64, warmup_left_ms: u64) -> Heartbeat {
+    Heartbeat { warmup_left_ms, ..heartbeat(address, zone, call_seq) }
 }
 
-pub fn line(name: &str, zone: &str, ready: bool) -> GatewayLine {
+pub fn gateway_line(name: &str, zone: &str, ready: bool) -> GatewayLine {
     GatewayLine { name: name.into(), front: format!("{name}:80"), zone: zone.into(), ready }
 }
 
-/// The first call of a gateway's life.
-pub fn hello(name: &str, zone: &str, life: u64, ready: bool) -> WatchCall {
-    WatchCache::new().watch_call(Caller::Gateway, name, life, Some(line(name, zone, ready)), 1_000)
+/// The first watch call of a gateway process.
+pub fn first_call(name: &str, zone: &str, life: u64, ready: bool) -> WatchCall {
+    WatchCache::new().watch_call(Caller::Gateway, name, life, Some(gateway_line(name, zone, ready)), 1_000)
 }
 
-pub struct Cluster {
+pub struct TestLeader {
     pub now: u64,
     pub register: Register,
-    /// Withdrawn by ticks.
-    pub expired: Vec<String>,
-    /// Gateways that call all the time: name and zone.
-    pub calling: Vec<(&'static str, &'static str)>,
-    /// Servers that beat all the time: id, zone, address, call_seq.
-    pub beating: Vec<(String, &'static str, String, u64)>,
+    /// Servers that ticks removed because they were silent.
+    pub expired_ids: Vec<String>,
+    /// Gateways that call at each tick: name and zone.
+    pub calling_gateways: Vec<(&'static str, &'static str)>,
+    /// Servers that send heartbeats regularly: id, zone, address and last `call_seq`.
+    pub active_servers: Vec<(String, &'static str, String, u64)>,
 }
 
-impl Cluster {
-    pub fn new() -> Cluster {
-        Cluster::from(1_000, 1, None)
+impl TestLeader {
+    pub fn new() -> TestLeader {
+        TestLeader::from(1_000, 1, None)
     }
 
-    pub fn from(now: u64, term: u64, copy: Option<WatchCache>) -> Cluster {
-        let register = Register::new(now, tuning(), term, copy);
-        Cluster { now, register, expired: Vec::new(), calling: Vec::new(), beating: Vec::new() }
+    pub fn from(now: u64, term: u64, cache: Option<WatchCache>) -> TestLeader {
+        let register = Register::new(now, tuning(), term, cache);
+        TestLeader {
+            now,
+            register,
+            expired_ids: Vec::new(),
+            calling_gateways: Vec::new(),
+            active_servers: Vec::new(),
+        }
     }
 
-    /// `count` servers `s0`... in `zone`, at `s0:1`..., that beat from now on.
-    pub fn crowd(&mut self, count: usize, zone: &'static str) {
+    /// Adds `count` servers `s0`, `s1`, ... at `s0:1`, `s1:1`, ... in `zone`, which send heartbeats from now on.
+    pub fn add_servers(&mut self, count: usize, zone: &'static str) {
         for n in 0..count {
-            self.beating.push((format!("s{n}"), zone, format!("s{n}:1"), 0));
+            self.active_servers.push((format!("s{n}"), zone, format!("s{n}:1"), 0));
         }
-        self.beats();
+        self.send_heartbeats();
     }
 
-    fn beats(&mut self) {
-        for (id, zone, address, call_seq) in &mut self.beating {
+    fn send_heartbeats(&mut self) {
+        for (id, zone, address, call_seq) in &mut self.active_servers {
             *call_seq += 1;
-            self.register.record_heartbeat(self.now, id, &beat(address, zone, *call_seq));
+            self.register.record_heartbeat(self.now, id, &heartbeat(address, zone, *call_seq));
         }
     }
 
-    pub fn wait(&mut self, ms: u64) {
+    /// Advances the clock in steps of 250 ms, with heartbeats, watch calls and ticks.
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             let before = self.now;
             self.now = end.min(self.now + 250);
             if before / HEARTBEAT_MS != self.now / HEARTBEAT_MS {
-                self.beats();
+                self.send_heartbeats();
             }
-            for (name, zone) in &self.calling {
-                self.register.record_watch_call(self.now, &hello(name, zone, 1, true));
+            for (name, zone) in &self.calling_gateways {
+                self.register.record_watch_call(self.now, &first_call(name, zone, 1, true));
             }
-            self.expired.extend(self.register.tick(self.now));
+            self.expired_ids.extend(self.register.tick(self.now));
         }
     }
 
-    pub fn beat(&mut self, id: &str, beat: &Heartbeat) -> HeartbeatKind {
-        self.register.record_heartbeat(self.now, id, beat).kind
+    pub fn heartbeat(&mut self, id: &str, heartbeat: &Heartbeat) -> HeartbeatKind {
+        self.register.record_heartbeat(self.now, id, heartbeat).kind
     }
 
-    /// All that a core member is told that has nothing.
+    /// The catalog of a core member whose cache was empty.
     pub fn catalog(&self) -> Rc<Catalog> {
-        self.copy().catalog()
+        self.core_cache().catalog()
     }
 
-    pub fn copy(&self) -> WatchCache {
-        let mut copy = WatchCache::new();
-        self.tell(&mut copy, Caller::Core);
-        copy
+    /// The cache of a core member that was empty and has received everything.
+    pub fn core_cache(&self) -> WatchCache {
+        let mut cache = WatchCache::new();
+        self.update(&mut cache, Caller::Core);
+        cache
     }
 
-    /// Tells a watcher what it lacks, if anything.
-    pub fn tell(&self, copy: &mut WatchCache, who: Caller) -> Option<CatalogUpdate> {
-        let call = copy.watch_call(who, "watcher", 7, None, 1_000);
+    /// Applies to a watcher's cache everything that it has not received yet, if there is anything.
+    pub fn update(&self, cache: &mut WatchCache, who: Caller) -> Option<CatalogUpdate> {
+        let call = cache.watch_call(who, "watcher", 7, None, 1_000);
         let answer = self.register.answer(self.now, &call, 0)?;
-        Some(copy.apply(answer).expect("leads back"))
+        Some(cache.apply(answer).expect("an answer of the current leader must be applied"))
     }
 
-    /// `None`: not in the table.
+    /// State of a server; `None`: it is not in the table.
     pub fn state(&self, id: &str) -> Option<ServerState> {
         self.catalog().servers.get(id).map(|line| line.state)
     }
 
-    /// Who may send to it, as published.
-    pub fn permit(&self, id: &str) -> Option<String> {
+    /// The gateway that may send to a cold server; empty: none may; `None`: the server is warm.
+    pub fn permit_holder(&self, id: &str) -> Option<String> {
         self.catalog().servers.get(id).expect("not in the table").cold.clone()
     }
 }
