--- a/crates/registry/src/catalog.rs
+++ b/crates/registry/src/catalog.rs
@@ -1,7 +1,7 @@
 //! The watcher's side: an immutable snapshot of everything that the leader publishes, replaced as a whole by each
 //! watch answer that changes it.
 
-use crate::register::PERMIT_LIFE_MS;
+use crate::register::PERMIT_LIFETIME_MS;
 use crate::roster;
 use nickeljunction_messages::{
     Caller, ConfigChange, ConfigLine, GatewayLine, ServerLine, ServerState, TrialLine, WatchAnswer, WatchCall,
@@ -56,12 +56,14 @@
 impl SendLimit {
     /// What `gateway` may send to the server described by `line`. `data_age_ms` is the age of the gateway's data: the
     /// time since it *sent* the newest watch call that was answered, plus that answer's `age_ms`. A permit expires
-    /// after [`PERMIT_LIFE_MS`], because the leader may give it to another gateway after that.
+    /// after [`PERMIT_LIFETIME_MS`], because the leader may give it to another gateway after that.
     pub fn of(line: &ServerLine, gateway: &str, data_age_ms: u64) -> SendLimit {
         match (&line.state, &line.cold) {
             (ServerState::Draining, _) => SendLimit::Blocked,
             (ServerState::InService, None) => SendLimit::Unlimited,
-            (ServerState::InService, Some(holder)) if holder == gateway && data_age_ms < PERMIT_LIFE_MS => {
+            (ServerState::InService, Some(holder))
+                if holder == gateway && data_age_ms < PERMIT_LIFETIME_MS =>
+            {
                 SendLimit::WarmupRate
             }
             (ServerState::InService, Some(_)) => SendLimit::Blocked,
--- a/crates/registry/src/gateways.rs
+++ b/crates/registry/src/gateways.rs
@@ -201,7 +201,7 @@
 
     /// Publishes what has changed with time, and removes gateways that have been away for too long.
     pub(crate) fn refresh(&mut self, now: u64, tuning: &Tuning, sequence: &mut Sequence) {
-        self.by_name.retain(|_, gateway| now < gateway.connected_until() + tuning.gateway_forget_ms);
+        self.by_name.retain(|_, gateway| now < gateway.connected_until() + tuning.gateway_removal_ms);
         let alive = |gateway: &&Gateway| now < gateway.connected_until() + tuning.gateway_alive_ms;
         let mut count = self.by_name.values().filter(alive).count() as u32;
         if now < self.min_count.until {
@@ -264,7 +264,7 @@
     pub(crate) fn keeps_permit(&self, now: u64, tuning: &Tuning, name: &str) -> bool {
         self.by_name.get(name).is_some_and(|gateway| {
             gateway.line.as_ref().is_some_and(|line| line.ready)
-                && now < gateway.connected_until() + tuning.permit_patience_ms
+                && now < gateway.connected_until() + tuning.permit_grace_ms
         })
     }
 
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -31,6 +31,6 @@
 pub use config_history::ConfigHistory;
 pub use directory::{nearby_gateways, Client, MAX_ADDRESSES};
 pub use gateways::{CallOutcome, GatewayStatus};
-pub use register::{Propagation, Register, TrialState, Tuning, PERMIT_LIFE_MS};
+pub use register::{Propagation, Register, TrialState, Tuning, PERMIT_LIFETIME_MS};
 pub use server_counts::{count_servers, state_name, ServerCounts};
 pub use servers::{Heartbeat, HeartbeatKind, HeartbeatOutcome, ServerStatus};
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -16,7 +16,7 @@
 /// How long a gateway may use a permit for a cold server, ms. Counted from when the gateway sent the watch call whose
 /// answer gave it the permit, less the answer's `age_ms` (see [`crate::SendLimit::of`]). Less than
 /// [`Tuning::permit_gap_ms`].
-pub const PERMIT_LIFE_MS: u64 = 2_500;
+pub const PERMIT_LIFETIME_MS: u64 = 2_500;
 
 /// Time-outs and intervals of the register, ms. [`Tuning::new`] derives them from the settings.
 #[derive(Debug, Clone)]
@@ -31,22 +31,22 @@
     /// After a start without a cache the server table counts as incomplete for this long, and gateways keep the servers
     /// that they have in addition. Extended, to four times as long at most, while new instances still register or none
     /// has registered yet.
-    pub gather_ms: u64,
+    pub gathering_ms: u64,
     /// The ids of ended instances are remembered for this long, so that delayed heartbeats don't register them again.
-    pub ended_ms: u64,
+    pub ended_memory_ms: u64,
     /// Heartbeats that arrive within this time after an evacuation was withdrawn may have been sent before that.
-    pub hold_margin_ms: u64,
+    pub reopen_margin_ms: u64,
     /// After a gateway has lost the permit for a cold server, no gateway receives it for this long. More than
-    /// [`PERMIT_LIFE_MS`].
+    /// [`PERMIT_LIFETIME_MS`].
     pub permit_gap_ms: u64,
     /// A disconnected gateway keeps its permits for this long.
-    pub permit_patience_ms: u64,
+    pub permit_grace_ms: u64,
     /// The next watch call of a gateway arrives within this time after the hold time of the previous one.
     pub gateway_slack_ms: u64,
     /// A gateway counts as alive for this long after it was last connected.
     pub gateway_alive_ms: u64,
     /// A gateway is removed this long after it was last connected.
-    pub gateway_forget_ms: u64,
+    pub gateway_removal_ms: u64,
     /// The gateways in a cache have this long to find the new leader.
     pub takeover_ms: u64,
     /// Region of each zone.
@@ -62,14 +62,14 @@
             heartbeat_ms,
             silence_ms,
             mass_silence_ms: silence_ms * 4,
-            gather_ms: heartbeat_ms * 3,
-            ended_ms: 60_000,
-            hold_margin_ms: 200,
+            gathering_ms: heartbeat_ms * 3,
+            ended_memory_ms: 60_000,
+            reopen_margin_ms: 200,
             permit_gap_ms: 3_000,
-            permit_patience_ms: 1_000,
+            permit_grace_ms: 1_000,
             gateway_slack_ms: 1_200,
             gateway_alive_ms: 5_000,
-            gateway_forget_ms: 20_000,
+            gateway_removal_ms: 20_000,
             takeover_ms: 4_000,
             zones,
         }
@@ -166,7 +166,7 @@
 /// The soft state of a leader in one term: servers, gateways, and the parts of the replicated log that they need.
 ///
 /// Nothing here is stored on disk. A new leader starts from its [`WatchCache`]. Without one it gathers heartbeats for
-/// [`Tuning::gather_ms`], and meanwhile its answers add to what gateways have instead of replacing it.
+/// [`Tuning::gathering_ms`], and meanwhile its answers add to what gateways have instead of replacing it.
 #[derive(Debug)]
 pub struct Register {
     tuning: Tuning,
@@ -200,8 +200,10 @@
         let servers = Servers::new(now, &tuning, &cache, &mut sequence);
         let gateways = Gateways::new(now, &tuning, &catalog.roster, catalog.gateway_count, &mut sequence);
         Register {
-            gathering: (!complete)
-                .then_some(Gathering { end: now + tuning.gather_ms, latest_end: now + 4 * tuning.gather_ms }),
+            gathering: (!complete).then_some(Gathering {
+                end: now + tuning.gathering_ms,
+                latest_end: now + 4 * tuning.gathering_ms,
+            }),
             tuning,
             term,
             sequence,
--- a/crates/registry/src/servers.rs
+++ b/crates/registry/src/servers.rs
@@ -430,7 +430,7 @@
         address: String,
         permit_free_at: u64,
     ) {
-        let former = FormerInstance { reason, address, until: now + tuning.ended_ms, permit_free_at };
+        let former = FormerInstance { reason, address, until: now + tuning.ended_memory_ms, permit_free_at };
         self.former.insert(id.to_string(), former);
         if self.former.len() > MAX_FORMER {
             let oldest = self.former.iter().min_by_key(|(_, former)| former.until).map(|(id, _)| id.clone());
@@ -478,7 +478,7 @@
         sequence: &mut Sequence,
     ) {
         for instance in self.instances.values_mut().filter(|instance| zones.contains(&instance.line.zone)) {
-            instance.warmth = Warmth::Unknown(now + tuning.hold_margin_ms);
+            instance.warmth = Warmth::Unknown(now + tuning.reopen_margin_ms);
             if instance.publish_warmth(sequence) {
                 self.changed_seq = instance.changed_seq;
             }
--- a/crates/registry/tests/reference.rs
+++ b/crates/registry/tests/reference.rs
@@ -17,7 +17,7 @@
 const SERVERS: usize = 6;
 /// Interval between two ticks of the register.
 const TICK_MS: u64 = 250;
-/// Maximum time for which a gateway keeps a permit after its last call: hold time, slack and patience.
+/// Maximum time for which a gateway keeps a permit after its last call: hold time, slack and grace period.
 const KEEPS_PERMIT_MS: u64 = 1_000 + 1_200 + 1_000;
 
 #[derive(Debug, Clone)]
