--- a/crates/registry/src/catalog.rs
+++ b/crates/registry/src/catalog.rs
@@ -158,8 +158,8 @@
         /// Applying the answer's difference gave another document than the leader has.
         DigestMismatch(version: u64) {
             display(
-                "watch answer not applied: its difference gives another configuration {} than the leader's (digests \
-                 differ)",
+                "watch answer not applied: its difference to configuration version {} gives another document than the \
+                 leader's",
                 version
             )
         }
