--- a/crates/decide/src/decide/cold.rs
+++ b/crates/decide/src/decide/cold.rs
@@ -1,10 +1,10 @@
-//! Cold starts.
+//! Warm-up of servers that have just started.
 
 use super::*;
 
 impl Server {
-    /// A cold server takes no more than its share of a warm one's traffic, one send at a time: the first
-    /// burst to an empty new server would push it over.
+    /// Whether a send is due. A cold server gets no more than its share of a warm one's traffic, one send at
+    /// a time: a first burst to an empty new server would overload it.
     pub(super) fn warm_enough(&mut self, now: f64, share: f64, settings: &Settings) -> bool {
         let age = (now - self.cold_since) / settings.warmup_ms.max(1.0);
         if age >= 1.0 {
--- a/crates/decide/src/decide/health.rs
+++ b/crates/decide/src/decide/health.rs
@@ -1,72 +1,72 @@
-//! Health: what outcomes tell of servers and of the fleet.
+//! Health: what outcomes indicate about servers and about the load of the fleet.
 
 use super::*;
 
-/// Least and most weight of one sample in a server's average, by its age in so many mean latencies: a few
-/// samples must do where a gateway sees a server seldom.
+/// Least and greatest weight of a sample in a server's averages; it rises with the pause before, up to this
+/// many mean latencies. Few samples must suffice where a gateway seldom uses a server.
 const SERVER_GAIN: f64 = 0.1;
 const SPARSE_GAIN: f64 = 0.4;
 const GAIN_MEANS: f64 = 40.0;
-/// A server is set aside when the attempts out there have waited, since it was last heard, so many mean
-/// latencies in sum and the oldest so many: one long request alone is no silence.
+/// Silent: since the server last responded its attempts have waited this many expected latencies in sum and
+/// the oldest this many. One long request alone does not mean silence.
 const SILENT_SUM: f64 = 12.0;
 const SILENT_ONE: f64 = 4.0;
-/// A server this much slower than the median is set aside; slower together, nobody is.
-const SLOW_X: f64 = 2.5;
-/// At most this part of the fleet is set aside: the rest could not carry more.
-const ASIDE_PART: f64 = 0.4;
-/// First and longest pause before a test of a set-aside server, in mean latencies.
+/// A server this many times slower than the median is ejected. If all are slow together, none is.
+const SLOW_FACTOR: f64 = 2.5;
+/// At most this fraction of the fleet is ejected: the rest could not carry more.
+const MAX_EJECTED: f64 = 0.4;
+/// First and longest pause before a test of an ejected server, in mean latencies.
 const TEST_PAUSE: f64 = 5.0;
-const TEST_PAUSE_MAX: f64 = 40.0;
-/// Attempts out at one server: least bound, the parts of the aim that widen or narrow it, and by how much.
-const LEAST_LIMIT: f64 = 1.0;
-const WIDEN_BELOW: f64 = 1.1;
-const NARROW_ABOVE: f64 = 1.45;
-const NARROW_BY: f64 = 0.85;
-/// The lowest mean latency forgets by this much an outcome: a first guess that was too low must not last.
-const CALM_CREEP: f64 = 1.0003;
-/// An answer later than this part of its aim, or none for lack of room, tells of a fleet driven over: what
-/// one twice as late leaves of the odds of admission, how late they count at most (work varies: barely late
-/// says little), and what a quick answer adds.
+const MAX_TEST_PAUSE: f64 = 40.0;
+/// Limit on attempts in flight at a server: minimum, congestion that raises or lowers it, and factor.
+const MIN_LIMIT: f64 = 1.0;
+const RAISE_BELOW: f64 = 1.1;
+const LOWER_ABOVE: f64 = 1.45;
+const LOWER_FACTOR: f64 = 0.85;
+/// Growth of a class's lowest latency per response: a first guess that was too low must not last.
+const LOWEST_GROWTH: f64 = 1.0003;
+/// A response after this fraction of the target latency is late. Like a full queue, it indicates overload.
 const LATE_AT: f64 = 0.4;
-const SHED_DOWN: f64 = 0.75;
-const LATE_MOST: f64 = 1.5;
-const SHED_UP: f64 = 0.05;
-/// A quick answer after a long time raises the odds by so many times more for each aim that passed.
-const RARE_X: f64 = 3.0;
-/// Weight by which each quick answer in a row parts trust from shedding: both at once kept servers idle.
-const EASE: f64 = 0.5;
+/// Factor on admission for one twice as late, the most lateness that counts (work varies, so a little means
+/// nothing), and the increase for a quick response.
+const SHED_FACTOR: f64 = 0.75;
+const MAX_LATENESS: f64 = 1.5;
+const ADMIT_STEP: f64 = 0.05;
+/// After a pause a quick response counts this many times more for each target latency that passed.
+const PAUSE_FACTOR: f64 = 3.0;
+/// Weight of each quick response in a row towards trust while requests are still shed: distrust and shedding
+/// at the same time left servers idle.
+const QUICK_WEIGHT: f64 = 0.5;
 
 impl Limiter {
-    /// Sets aside servers that hang, fail or are slow while the others are not.
-    pub(super) fn judge_servers(&mut self) {
+    /// Ejects servers that hang, fail or are slow while the others are not.
+    pub(super) fn eject_outliers(&mut self) {
         let (now, mean) = (self.now, self.mean_latency());
-        self.lost = self.servers.values().filter(|server| server.up && server.cut).count() as f64;
-        // Only those seen: a gateway among hundreds uses few, and what it never used would pass for normal.
-        let seen = || self.servers.values().filter(|server| server.up && server.samples > 0);
-        let mut slowness: Vec<f64> = seen().map(|server| server.slowness).collect();
+        let up = || self.servers.values().filter(|server| server.up);
+        self.unreachable = up().filter(|server| server.unreachable).count() as f64;
+        // Only servers with samples: a gateway among hundreds uses few, and the rest would count as normal.
+        let sampled = up().filter(|server| server.samples > 0);
+        let mut slowness: Vec<f64> = sampled.map(|server| server.slowness).collect();
         slowness.sort_by(f64::total_cmp);
         let median = slowness.get(slowness.len() / 2).copied().unwrap_or(1.0);
-        let most = (slowness.len() as f64 * ASIDE_PART).ceil() as usize;
-        let mut aside =
-            self.servers.values().filter(|server| server.up && server.aside > 0.0 && !server.cut).count();
-        for (id, server) in self.servers.iter_mut().filter(|(_, server)| server.up && server.aside == 0.0) {
-            let usual = mean * server.slowness.clamp(1.0, SLOW_X);
-            let silent = server.waits > SILENT_SUM * usual && server.silence(now) > SILENT_ONE * usual;
-            if !silent && (server.samples < 5 || server.slowness < SLOW_X * median) {
+        let most = (slowness.len() as f64 * MAX_EJECTED).ceil() as usize;
+        let mut ejected = up().filter(|server| server.ejected() && !server.unreachable).count();
+        for (id, server) in self.servers.iter_mut().filter(|(_, server)| server.up && !server.ejected()) {
+            let normal = mean * server.slowness.clamp(1.0, SLOW_FACTOR);
+            let silent = server.total_wait > SILENT_SUM * normal && server.silence(now) > SILENT_ONE * normal;
+            let outlier = silent || server.samples >= 5 && server.slowness >= SLOW_FACTOR * median;
+            if !outlier || ejected >= most {
                 continue;
             }
-            if aside < most {
-                aside += 1;
-                (server.aside, server.until) = (TEST_PAUSE * mean, now + TEST_PAUSE * mean);
-                let why = if silent { "silent" } else { "slow or failing" };
-                self.out.push(Action::Log(format!("server {id} set aside: {why}")));
-            }
+            ejected += 1;
+            (server.ejection_ms, server.ejected_until) = (TEST_PAUSE * mean, now + TEST_PAUSE * mean);
+            let reason = if silent { "silent" } else { "slow or failing" };
+            self.actions.push(Action::Log(format!("server {id} set aside: {reason}")));
         }
     }
 
-    /// What an outcome says of the server, of its class and of the fleet.
-    pub(super) fn learn(&mut self, outcome: &Outcome) {
+    /// Updates averages, admission and the server's limit after an attempt.
+    pub(super) fn record_outcome(&mut self, outcome: &Outcome) {
         let (now, mean, status) = (self.now, self.mean_latency(), outcome.status);
         let Some(request) = self.requests.get(&outcome.id) else { return };
         let Some(server) = self.servers.get_mut(&outcome.server) else { return };
@@ -74,79 +74,83 @@
             return;
         }
         let (size, class) = (request.size, &mut self.latency[request.class]);
-        let usual = class.mean * size;
-        server.out = (server.out - 1.0).max(0.0);
+        let expected = class.mean * size;
+        server.in_flight = (server.in_flight - 1.0).max(0.0);
         if status == Status::ConnectError {
-            return self.lost_path(&outcome.server);
+            return self.mark_unreachable(&outcome.server);
         }
         if status == Status::Unreadable {
-            // Any server's answers arrive spoilt alike: it is alive, and no slower or worse than the others.
-            server.heard = now;
+            // Responses of any server may be damaged on the way: this one is alive, and no worse than others.
+            server.heard_at = now;
             return;
         }
-        let bad = matches!(status, Status::Failed | Status::Reset | Status::QueueFull);
-        let heard = bad || status == Status::Ok;
-        server.heard = if heard { now } else { server.heard };
-        let fine = status == Status::Ok && outcome.latency_ms < SLOW_X * usual || server.cut && heard;
-        // One that was given up took at least so long: a server that answers nobody must not pass for usual.
-        if heard || (status == Status::TimedOut && outcome.latency_ms > server.slowness * usual) {
-            // A failure, however quick, is the longest latency: who turns work away is not the cheapest.
-            let ratio = if bad { 2.0 * SLOW_X } else { (outcome.latency_ms / usual).min(2.0 * SLOW_X) };
-            let gain = ((now - server.judged) / (GAIN_MEANS * mean)).clamp(SERVER_GAIN, SPARSE_GAIN);
+        let failed = matches!(status, Status::Failed | Status::Reset | Status::QueueFull);
+        let responded = failed || status == Status::Ok;
+        server.heard_at = if responded { now } else { server.heard_at };
+        let quick = status == Status::Ok && outcome.latency_ms < SLOW_FACTOR * expected;
+        let recovered = quick || server.unreachable && responded;
+        // A timed-out attempt took at least this long: a server that never responds must not count as normal.
+        let slower = status == Status::TimedOut && outcome.latency_ms > server.slowness * expected;
+        if responded || slower {
+            // A failure counts as the longest latency: a server that rejects all must not be the cheapest.
+            let most = 2.0 * SLOW_FACTOR;
+            let ratio = if failed { most } else { (outcome.latency_ms / expected).min(most) };
+            let gain = ((now - server.sampled_at) / (GAIN_MEANS * mean)).clamp(SERVER_GAIN, SPARSE_GAIN);
             server.slowness += gain * (ratio - server.slowness);
-            server.judged = now;
+            server.sampled_at = now;
             server.samples += 1;
-            if server.aside == 0.0 && status == Status::Ok {
+            if !server.ejected() && status == Status::Ok {
                 class.add(outcome.latency_ms / size, CLASS_GAIN);
-                self.size.add(size, CLASS_GAIN);
+                self.mean_size.add(size, CLASS_GAIN);
             }
         }
-        let aim = self.settings.classes[request.class].target_latency_ms;
-        let late = outcome.latency_ms / (LATE_AT * aim * size / self.size.mean);
-        if status == Status::QueueFull || server.aside == 0.0 && late > 1.0 && !bad {
-            let by =
-                self.unseen * if status == Status::QueueFull { 1.0 } else { (late - 1.0).min(LATE_MOST) };
-            self.admit = (self.admit * SHED_DOWN.powf(by)).max(ODDS_LEAST);
-            self.eased = 0.0;
+        let target = self.settings.classes[request.class].target_latency_ms;
+        let lateness = outcome.latency_ms / (LATE_AT * target * size / self.mean_size.mean);
+        let full = status == Status::QueueFull;
+        if full || !server.ejected() && lateness > 1.0 && !failed {
+            let excess = if full { 1.0 } else { (lateness - 1.0).min(MAX_LATENESS) };
+            self.admission = (self.admission * SHED_FACTOR.powf(self.others_share * excess)).max(MIN_PROB);
+            self.quick_answers = 0.0;
         } else if status == Status::Ok {
-            self.eased += EASE;
-            // Few answers come while much is shed: each then counts for more, or the fleet would lie idle.
-            let rare = RARE_X * (now - self.answered_at) / aim;
-            self.admit = (self.admit + SHED_UP * rare.max(1.0) * (1.0 - late)).min(1.0);
+            self.quick_answers += QUICK_WEIGHT;
+            // While much is shed responses are few: each counts for more, or the fleet would be idle.
+            let pause = PAUSE_FACTOR * (now - self.answered_at) / target;
+            self.admission = (self.admission + ADMIT_STEP * pause.max(1.0) * (1.0 - lateness)).min(1.0);
         }
         self.answered_at = now;
         if matches!(status, Status::Ok | Status::TimedOut) {
-            let calm = &mut self.calm[request.class];
-            *calm = (*calm * CALM_CREEP).min(class.mean);
-            let ratio = outcome.latency_ms / (*calm * size);
-            server.lateness += SERVER_GAIN * (ratio.min(10.0) - server.lateness);
+            let lowest = &mut self.lowest_latency[request.class];
+            *lowest = (*lowest * LOWEST_GROWTH).min(class.mean);
+            let ratio = outcome.latency_ms / (*lowest * size);
+            server.congestion += SERVER_GAIN * (ratio.min(10.0) - server.congestion);
         }
-        if server.lateness > NARROW_ABOVE || status == Status::QueueFull {
-            server.limit = (server.limit * NARROW_BY).max(LEAST_LIMIT);
-        } else if server.lateness < WIDEN_BELOW && server.out + 2.0 > server.limit {
+        if server.congestion > LOWER_ABOVE || full {
+            server.limit = (server.limit * LOWER_FACTOR).max(MIN_LIMIT);
+        } else if server.congestion < RAISE_BELOW && server.in_flight + 2.0 > server.limit {
             server.limit += 1.0 / server.limit;
         }
-        if server.aside > 0.0 && fine {
-            (server.aside, server.cut, server.samples, server.slowness) = (0.0, false, 0, 1.0);
-            self.out.push(Action::Log(format!("server {} back", outcome.server)));
-        } else if server.aside > 0.0 && server.out == 0.0 {
-            server.aside = (server.aside * 2.0).min(TEST_PAUSE_MAX * mean);
-            server.until = now + server.aside;
+        if server.ejected() && recovered {
+            (server.ejection_ms, server.unreachable, server.samples, server.slowness) = (0.0, false, 0, 1.0);
+            self.actions.push(Action::Log(format!("server {} back", outcome.server)));
+        } else if server.ejected() && server.in_flight == 0.0 {
+            server.ejection_ms = (server.ejection_ms * 2.0).min(MAX_TEST_PAUSE * mean);
+            server.ejected_until = now + server.ejection_ms;
         }
     }
 
-    /// No connection came about. That is no matter of load but of this gateway's own path (a link or a rule
-    /// between the two, a full connection table) or of a server that is gone: exact after one try, and no
-    /// other gateway may see it. So the server leaves the choice at once, however many do, and tells nothing
-    /// of the fleet; the next of the ring takes its place. Danger: a path that loses one connection in some
-    /// halves the choice for nothing, and what all gateways still reach gets their work: shedding must hold.
-    fn lost_path(&mut self, id: &ServerId) {
+    /// Ejects a server after a failed connection. The cause is not load but this gateway's own path (a link
+    /// or firewall rule, a full connection table) or a server that is gone: one failure is conclusive, and
+    /// other gateways may not see it. So it is ejected at once, however many are, without effect on
+    /// admission, and the next candidate takes its place. Risk: a path that loses a few connections halves
+    /// the choice for nothing, and servers that all gateways reach get the work: shedding must protect them.
+    fn mark_unreachable(&mut self, id: &ServerId) {
         let (now, mean) = (self.now, self.mean_latency());
         let Some(server) = self.servers.get_mut(id) else { return };
-        (server.aside, server.until) = (TEST_PAUSE_MAX * mean, now + TEST_PAUSE_MAX * mean);
-        self.lost += if server.cut { 0.0 } else { 1.0 };
-        if !std::mem::replace(&mut server.cut, true) && (self.lost as usize).is_power_of_two() {
-            self.out.push(Action::Log(format!("no connection to {} servers, the last one {id}", self.lost)));
+        (server.ejection_ms, server.ejected_until) = (MAX_TEST_PAUSE * mean, now + MAX_TEST_PAUSE * mean);
+        self.unreachable += if server.unreachable { 0.0 } else { 1.0 };
+        let count = self.unreachable;
+        if !std::mem::replace(&mut server.unreachable, true) && (count as usize).is_power_of_two() {
+            self.actions.push(Action::Log(format!("no connection to {count} servers, the last one {id}")));
         }
     }
 }
--- a/crates/decide/src/plan_change.rs
+++ b/crates/decide/src/plan_change.rs
@@ -1,20 +1,19 @@
-//! Which figures a window of a plan is judged by while they change.
+//! The last change of the plans, for windows that still follow the previous ones.
 
 use crate::api::Plan;
 
-/// The plans' former figures, and from which windows on the present ones hold.
+/// The plans before the last change, and from which windows on the current ones apply.
 #[derive(Debug)]
-pub(crate) struct Figures {
-    /// The figures before the last change.
-    pub(crate) former: Vec<Plan>,
-    /// Windows that begin earlier, ms, are judged by the former figures at every gateway alike.
-    pub(crate) from: f64,
-    /// Changes so far.
-    pub(crate) changes: u64,
+pub(crate) struct PlanChange {
+    pub(crate) previous: Vec<Plan>,
+    /// Windows that begin before this time, ms, follow the previous plans, at every gateway alike.
+    pub(crate) effective_from: f64,
+    /// Number of changes so far.
+    pub(crate) revision: u64,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
-        Figures { former: Vec::new(), from: f64::NEG_INFINITY, changes: 0 }
+impl Default for PlanChange {
+    fn default() -> PlanChange {
+        PlanChange { previous: Vec::new(), effective_from: f64::NEG_INFINITY, revision: 0 }
     }
 }
--- a/crates/decide/src/retry_age.rs
+++ b/crates/decide/src/retry_age.rs
@@ -1,45 +1,44 @@
-//! How long a client has waited already when a try of its request arrives. Bookkeeping; what follows from it is decided
-//! in `decide/`.
+//! How long a client has been waiting when one of its tries arrives. The decisions that follow are in `decide/`.
 //!
-//! The settings tell a client's whole wait over all its tries, and a later try comes with what is left of that: so its
-//! age is the difference. Where clients mark their retries nothing more is needed. Where they don't, a first try is told
-//! by its patience: first tries of a class come with one and the same, and later ones with any other.
+//! The settings state the client's timeout over all its tries, and a later try arrives with what is left of it, so the
+//! difference is its age. That is enough where clients mark their retries. Where they don't, a first try is recognised
+//! by its timeout: first tries of a class all arrive with the same one, and later tries with any other.
 
 use crate::api::Class;
 
-/// Patience of a try may be off by this much on its way, as a part of the whole wait.
+/// A try's timeout may deviate on its way by this fraction of the client's timeout.
 const SLACK: f64 = 0.005;
-/// Votes for a usual patience from which on it is believed, and the most it can gather: in an overload fewer than
+/// Votes from which on the timeout counts as that of first tries, and the most votes kept. In an overload fewer than
 /// half of the tries are first ones, so a vote for it counts twice.
-const BELIEVED: f64 = 16.0;
-const VOTES_MOST: f64 = 200.0;
+const ENOUGH_VOTES: f64 = 16.0;
+const MAX_VOTES: f64 = 200.0;
 
-/// The patience that first tries of one class come with, ms, as a majority vote over all tries.
+/// The timeout that first tries of one class arrive with, ms, by a majority vote over all tries.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Usual {
-    patience: f64,
+pub(crate) struct FirstTryTimeout {
+    timeout_ms: f64,
     votes: f64,
 }
 
-impl Usual {
-    /// Books a try with this patience, ms, and tells its age, ms: 0 for a first try, or while it can't be told.
-    /// `marked`: whether it is a client's retry, where clients mark them.
-    pub(crate) fn age(&mut self, class: &Class, patience: f64, marked: Option<bool>) -> f64 {
-        let later = match marked {
+impl FirstTryTimeout {
+    /// Records a try with this timeout and returns its age, both in ms: 0 for a first try, or while it is unknown.
+    /// `marked`: whether it is marked as a retry, where clients do that.
+    pub(crate) fn age(&mut self, class: &Class, timeout_ms: f64, marked: Option<bool>) -> f64 {
+        let retry = match marked {
             Some(retry) => retry,
-            None => !self.usual(class, patience),
+            None => !self.is_first_try(class, timeout_ms),
         };
-        if later { class.client_timeout_ms - patience } else { 0.0 }.max(0.0)
+        if retry { class.client_timeout_ms - timeout_ms } else { 0.0 }.max(0.0)
     }
 
-    /// Votes, and tells whether this is a first try's patience, for all that is known.
-    fn usual(&mut self, class: &Class, patience: f64) -> bool {
-        let same = (patience - self.patience).abs() <= SLACK * class.client_timeout_ms;
-        self.votes = (self.votes + if same { 2.0 } else { -1.0 }).min(VOTES_MOST);
+    /// Records a vote. True if the timeout is that of first tries, or if that is not known yet.
+    fn is_first_try(&mut self, class: &Class, timeout_ms: f64) -> bool {
+        let same = (timeout_ms - self.timeout_ms).abs() <= SLACK * class.client_timeout_ms;
+        self.votes = (self.votes + if same { 2.0 } else { -1.0 }).min(MAX_VOTES);
         if self.votes < 0.0 {
-            *self = Usual { patience, votes: 2.0 };
+            *self = FirstTryTimeout { timeout_ms, votes: 2.0 };
         }
-        same || self.votes < BELIEVED
+        same || self.votes < ENOUGH_VOTES
     }
 }
 
@@ -63,32 +62,32 @@
     }
 
     #[test]
-    fn later_tries_are_told_by_what_is_left_of_the_whole_wait() {
-        let (class, mut usual) = (class(), Usual::default());
-        let mut told = Vec::new();
-        for turn in 0..100 {
-            // Two of three tries are later ones, each with an age of its own.
-            told.push(usual.age(&class, 2_700.0 + f64::from(turn % 5), None));
-            told.push(usual.age(&class, 3_900.0 - 15.0 * f64::from(turn), None));
-            if turn % 2 == 0 {
-                told.push(usual.age(&class, 2_000.0 - 11.0 * f64::from(turn), None));
+    fn age_of_a_retry_is_the_client_timeout_minus_what_is_left() {
+        let (class, mut first_try) = (class(), FirstTryTimeout::default());
+        let mut ages = Vec::new();
+        for round in 0..100 {
+            // Three of five tries are retries, each with another age.
+            ages.push(first_try.age(&class, 2_700.0 + f64::from(round % 5), None));
+            ages.push(first_try.age(&class, 3_900.0 - 15.0 * f64::from(round), None));
+            if round % 2 == 0 {
+                ages.push(first_try.age(&class, 2_000.0 - 11.0 * f64::from(round), None));
             }
         }
-        let late: Vec<f64> = told[told.len() - 5..].to_vec();
-        assert_eq!(late, [0.0, 1_570.0, 3_078.0, 0.0, 1_585.0]);
-        assert!(told[..20].iter().all(|age| *age == 0.0), "nothing is believed yet");
+        let last: Vec<f64> = ages[ages.len() - 5..].to_vec();
+        assert_eq!(last, [0.0, 1_570.0, 3_078.0, 0.0, 1_585.0]);
+        assert!(ages[..20].iter().all(|age| *age == 0.0), "too few votes yet");
     }
 
     #[test]
-    fn marks_are_believed_at_once_and_patience_without_a_usual_one_says_nothing() {
-        let (class, mut usual) = (class(), Usual::default());
-        assert_eq!(usual.age(&class, 2_500.0, Some(true)), 1_500.0);
-        assert_eq!(usual.age(&class, 2_500.0, Some(false)), 0.0);
-        assert_eq!(usual.age(&class, 9_000.0, Some(true)), 0.0, "longer than the whole wait");
-        let mut dice = fastrand::Rng::with_seed(7);
+    fn marked_retries_have_an_age_at_once_and_varying_timeouts_have_none() {
+        let (class, mut first_try) = (class(), FirstTryTimeout::default());
+        assert_eq!(first_try.age(&class, 2_500.0, Some(true)), 1_500.0);
+        assert_eq!(first_try.age(&class, 2_500.0, Some(false)), 0.0);
+        assert_eq!(first_try.age(&class, 9_000.0, Some(true)), 0.0, "longer than the client's timeout");
+        let mut rng = fastrand::Rng::with_seed(7);
         for _ in 0..2_000 {
-            let patience = 4_000.0 * dice.f64();
-            assert_eq!(usual.age(&class, patience, None), 0.0);
+            let timeout_ms = 4_000.0 * rng.f64();
+            assert_eq!(first_try.age(&class, timeout_ms, None), 0.0);
         }
     }
 }
--- a/crates/decide/src/settings_update.rs
+++ b/crates/decide/src/settings_update.rs
@@ -1,23 +1,25 @@
-//! New figures while a limiter runs: which of them a window is judged by. No decision is made here; a pool is
-//! only rebuilt by the module's own rule out of the figures that hold for its window.
+//! A change of settings while the limiter runs, and which version of a plan a window follows. Nothing else is decided
+//! here: a lease is rebuilt from the plan of its window by [`Lease::new`].
 
 use crate::api::Settings;
-use crate::plan_change::Figures;
-use crate::state::{Average, Limiter, Pool, FIRST_GUESS};
+use crate::plan_change::PlanChange;
+use crate::retry_age::FirstTryTimeout;
+use crate::state::{Average, Lease, Limiter, FIRST_GUESS};
 
 impl Limiter {
-    /// Takes new figures: those of plans for windows that begin at `from` (ms) or later, negative infinity for all
-    /// at once; the others at once. Classes keep their places, and plans theirs: new ones come last.
+    /// Replaces the settings. Plans apply to windows that begin at `from` (ms) or later, negative infinity for all
+    /// windows; other settings apply at once. Classes and plans keep their positions; new ones come last.
     pub fn update_settings(&mut self, settings: Settings, from: f64) {
-        let former = std::mem::replace(&mut self.settings, settings).plans;
-        self.figures = Figures { former, from, changes: self.figures.changes + 1 };
-        self.trust.resize(self.settings.plans.len(), 1.0);
-        // Classes that come new begin with the guesses of a start; those of before keep what was learned.
+        let previous = std::mem::replace(&mut self.settings, settings).plans;
+        self.plan_change =
+            PlanChange { previous, effective_from: from, revision: self.plan_change.revision + 1 };
+        self.plan_trust.resize(self.settings.plans.len(), 1.0);
+        // New classes begin with the guesses of a start; the others keep their averages.
         for class in &self.settings.classes[self.latency.len().min(self.settings.classes.len())..] {
             let guess = class.target_latency_ms * FIRST_GUESS;
             self.latency.push(Average::of(guess));
-            self.calm.push(guess);
-            self.usual.push(crate::retry_age::Usual::default());
+            self.lowest_latency.push(guess);
+            self.first_try_timeouts.push(FirstTryTimeout::default());
         }
     }
 
@@ -26,37 +28,38 @@
         &self.settings
     }
 
-    /// Odds, 0 to 1, that a request of mean worth for its time is taken in: below 1 the fleet is thought short.
+    /// Probability that a request of mean value for its expected latency is admitted. Below 1 the fleet is overloaded.
     pub fn admission_probability(&self) -> f64 {
-        self.admit
+        self.admission
     }
 
-    /// Two attempts of a request may be out at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub fn hedging(&self) -> bool {
         self.settings.hedging
     }
 
-    /// Rebuilds a pool whose window is judged by other figures than those it was made of. What it holds, owes and
-    /// was told stays: totals under the name count units, whatever the figures.
-    pub(crate) fn fit(&self, pool: &mut Pool) {
-        let figures = &self.figures;
-        let present = pool.window as f64 * pool.length - pool.phase >= figures.from;
-        let stamp = figures.changes * 2 + u64::from(present);
-        if pool.fitted == stamp {
+    /// Rebuilds a lease if its window follows another version of the plan than it was built from. Units held and
+    /// unreported, and the known total, stay: totals count units, whatever the plan.
+    pub(crate) fn apply_plan_change(&self, lease: &mut Lease) {
+        let change = &self.plan_change;
+        let current = lease.window as f64 * lease.window_ms - lease.window_shift >= change.effective_from;
+        let revision = change.revision * 2 + u64::from(current);
+        if lease.plan_revision == revision {
             return;
         }
-        let plans = if present { &self.settings.plans } else { &figures.former };
-        let new = plans.get(pool.plan).and_then(|plan| {
-            Pool::new(plan, pool.phase / pool.length, pool.doors, self.settings.max_request_units.max(1.0))
-        });
+        let plans = if current { &self.settings.plans } else { &change.previous };
+        let (shift, max_units) =
+            (lease.window_shift / lease.window_ms, self.settings.max_request_units.max(1.0));
+        let new = plans.get(lease.plan).and_then(|plan| Lease::new(plan, shift, lease.gateways, max_units));
         let Some(new) = new else { return };
-        pool.fitted = stamp;
-        (pool.strict, pool.spare, pool.spare_rate) = (new.strict, new.spare, new.spare_rate);
-        (pool.rate, pool.cap, pool.span) = (new.rate, new.cap, new.span);
-        // A batch can't be larger than the store: what lies above a smaller one goes back with the next call, or a
-        // franchisee would go on for half a window as if nothing had changed.
-        let above = (pool.held - pool.cap).max(0.0);
-        pool.held -= above;
-        pool.fix -= above;
+        lease.plan_revision = revision;
+        (lease.has_ceiling, lease.local_max, lease.local_rate) =
+            (new.has_ceiling, new.local_max, new.local_rate);
+        (lease.rate, lease.capacity, lease.burst_ms) = (new.rate, new.capacity, new.burst_ms);
+        // Units held above a smaller capacity go back with the next call; otherwise the customer would go on for
+        // half a window as if nothing had changed.
+        let above = (lease.held - lease.capacity).max(0.0);
+        lease.held -= above;
+        lease.correction -= above;
     }
 }
