--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -1,86 +1,87 @@
-//! The interface of the decision module: plain types, settings, events and actions. No logic lives here.
+//! The interface of the decision module: settings, events and actions as plain types, without logic.
 //!
-//! Times are milliseconds on one monotonic clock that the embedding program owns; amounts are quota units.
+//! Each gateway runs one limiter. Times are in ms on a monotonic clock of the embedding program; amounts are in quota
+//! units. Requests earn points: their worth, less fees.
 
 use std::collections::BTreeMap;
 
-/// A request's id, opaque and never reused.
+/// Id of a request: opaque and never reused.
 pub type RequestId = String;
-/// A server's id, opaque; it stays the same when its process restarts.
+/// Id of a server: opaque, and the same after a restart of its process.
 pub type ServerId = String;
 
-/// How often a request of a class may take effect.
+/// Whether a request may be sent again after it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Safe to run any number of times.
+    /// It may run any number of times.
     Idempotent,
-    /// Carries a key: servers of one group drop repeats for a while.
+    /// It carries an idempotency key: for a while, servers within the deduplication scope drop repeats.
     Keyed,
-    /// Must never run twice.
+    /// It must not run twice.
     AtMostOnce,
 }
 
-/// Which servers drop a repeat of a keyed request.
+/// Which servers know the idempotency key of a request and drop its repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every server.
+    /// All servers.
     All,
-    /// The servers of one zone.
+    /// Servers in the zone of the first one.
     Zone,
-    /// The servers of one cell.
+    /// Servers in the cell of the first one.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Name as requests carry it.
+    /// Its name in requests.
     pub name: String,
-    /// Full worth is earned within this time, ms.
+    /// An answer within this time earns the full worth, ms.
     pub target_latency_ms: f64,
-    /// The client's whole wait over all its tries, ms.
+    /// Time after which the client gives up, over all its tries, ms.
     pub client_timeout_ms: f64,
-    /// Whether a request may run again.
+    /// Whether a request may be sent again.
     pub retry_safety: RetrySafety,
-    /// Who drops repeats of a keyed request.
+    /// Which servers drop repeats of a keyed request.
     pub dedup_scope: DedupScope,
-    /// How long repeats are dropped, from the first send that may have run, ms.
+    /// How long they drop repeats, from the first send that may have run, ms.
     pub key_ttl_ms: f64,
-    /// Share of the worth earned after the aim.
+    /// Fraction of the worth that a later answer earns.
     pub late_share: f64,
-    /// Answers are streamed.
+    /// Responses are streamed.
     pub stream: bool,
     /// Worth of one request.
     pub worth: f64,
 }
 
-/// A plan: the quota of each of its customers over all limiters together.
+/// A plan: the quota of each of its customers at all gateways together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Name as requests carry it.
+    /// Its name in requests.
     pub name: String,
-    /// Units a second that refill the store; 0: no such quota.
+    /// Refill of the token bucket, units/s; 0: no quota.
     pub rate: f64,
-    /// Units that the store holds at most.
+    /// Capacity of the bucket, units.
     pub burst: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Most concurrent attempts; 0: any number.
     pub max_concurrent: f64,
-    /// Worth factor of the plan.
+    /// Factor on the worth of a request.
     pub worth_factor: f64,
-    /// Share of its worth that a request beyond the quota earns.
+    /// Fraction of its worth that a request beyond the quota earns.
     pub excess_worth: f64,
-    /// Share of its worth that a request beyond the quota costs.
+    /// Fraction of its worth that a request beyond the quota costs.
     pub excess_cost: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Refill of the hard ceiling's bucket, units/s; 0: no ceiling.
     pub ceiling_rate: f64,
-    /// Units that the ceiling's store holds at most.
+    /// Capacity of the ceiling's bucket, units.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling's store may go below nothing.
+    /// Units by which the ceiling's bucket may go below 0.
     pub ceiling_slack: f64,
 }
 
 impl Default for Plan {
-    /// A plan without a name and without a quota, whose requests are worth what their class says.
+    /// A plan without name and quota, whose requests have the worth of their class.
     fn default() -> Plan {
         Plan {
             name: String::new(),
@@ -97,71 +98,71 @@
     }
 }
 
-/// Everything told once, at start.
+/// Settings of a limiter.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// This limiter's number among its siblings, from 0.
+    /// Index of this gateway, from 0.
     pub gateway_index: usize,
-    /// How many limiters there are.
+    /// Number of gateways.
     pub gateway_count: usize,
-    /// This limiter's zone.
+    /// Zone of this gateway.
     pub zone: String,
-    /// Shortest time between two rounds of events, ms.
+    /// Shortest time between two batches of events, ms.
     pub step_ms: f64,
-    /// Fewest servers to choose among where so many run; 0: the module's own bound.
+    /// Fewest servers to choose among, if that many are up; 0: the module's own minimum.
     pub min_subset: f64,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Plans.
     pub plans: Vec<Plan>,
-    /// The counter service may be called.
+    /// The counter service is available.
     pub counter_enabled: bool,
-    /// A counter call without an answer by then counts as timed out, ms.
+    /// Timeout of a counter call, ms.
     pub counter_timeout_ms: f64,
-    /// Requests name a guess of their units; the answer tells the true ones.
+    /// The units of a request are an estimate; the answer states the true ones.
     pub settles_units: bool,
     /// Most units of one request.
     pub max_request_units: f64,
-    /// The server list must be subscribed to.
+    /// The server list requires a subscription.
     pub subscribe: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Most attempts of one request.
     pub max_attempts: usize,
-    /// Longest advice to stay away that clients honour, ms.
+    /// Longest retry-after time that clients honour, ms.
     pub max_retry_after_ms: f64,
-    /// Advice to stay away reaches clients.
+    /// Clients receive the retry-after time.
     pub retry_after: bool,
     /// Clients mark their retries.
     pub marks_retry: bool,
     /// Servers may be probed.
     pub probing: bool,
-    /// Two attempts of one request may be out at the same time.
+    /// Two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// Points for one probe a request.
+    /// Points that a probe costs.
     pub probe_fee: f64,
-    /// Points for every attempt crossing zones.
+    /// Points that each attempt in another zone costs.
     pub cross_zone_fee: f64,
-    /// A server starts with no less than this share of its capacity.
+    /// Least fraction of its capacity that a server starts with.
     pub cold_start_share: f64,
-    /// A server is warm no later than this after its start, ms.
+    /// Longest warm-up of a server, ms.
     pub warmup_ms: f64,
-    /// Sends to a drained server must end within this time, ms.
+    /// Time within which attempts at a draining server must end, ms.
     pub drain_grace_ms: f64,
-    /// A cold server falls when sent this multiple of its present capacity ...
+    /// A cold server fails if it receives this multiple of its current capacity ...
     pub overload_multiple: f64,
     /// ... for this long, ms.
     pub overload_ms: f64,
-    /// A final answer may come this long after the client's deadline, ms.
+    /// How long after the client's deadline a final answer is still allowed, ms.
     pub answer_grace_ms: f64,
 }
 
-/// State of a server as the list tells it.
+/// State of a server in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// Runs.
+    /// Accepts requests.
     Up,
-    /// Completes its work; takes nothing new.
+    /// Finishes its work and accepts no new requests.
     Draining,
     /// No longer in the list.
     Removed,
@@ -170,7 +171,7 @@
 /// One entry of the server list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// Its id.
     pub server: ServerId,
     /// Its state.
     pub state: ServerState,
@@ -178,54 +179,54 @@
     pub zone: String,
     /// Its cell.
     pub cell: u64,
-    /// Stated size for comparison with other servers.
+    /// Capacity relative to other servers.
     pub weight: f64,
     /// When it last started; 0: long ago.
     pub started_at_ms: f64,
-    /// How near it is, 0 for the nearest: nearer ones are chosen first. The simulator's wire knows of none.
+    /// Nearer servers are chosen first; 0 is the nearest. Always 0 on the simulator's wire.
     pub distance: u8,
-    /// Its place among equally near ones in this limiter's own order: lower ones are chosen first, and equal ones by
-    /// the limiter's number. The simulator's wire knows of none.
+    /// Order among servers at the same distance: lower ranks are chosen first, equal ones in an order that depends on
+    /// the gateway's index. Always 0 on the simulator's wire.
     pub rank: f64,
 }
 
-/// What a list of servers is.
+/// Kind of a server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Incremental,
     /// The complete list.
     Full,
-    /// The complete list as last held, possibly stale.
+    /// The complete list from a cache, possibly stale.
     Cached,
-    /// A call to the list failed or the subscription broke.
+    /// The list could not be fetched, or the subscription broke.
     Failed,
 }
 
 /// How an attempt, a probe or a counter call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// Success.
     Ok,
-    /// The server returned an error; it may have run.
+    /// The server returned an error. The request may have run.
     Failed,
-    /// Turned away unseen.
+    /// Rejected because a queue was full. It has not run.
     QueueFull,
-    /// No answer in time; it may have run.
+    /// No answer within the timeout. It may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection. It has not run.
     ConnectError,
-    /// The connection broke; it may have run.
+    /// The connection broke. It may have run.
     Reset,
-    /// The answer can't be read: it has run, and that tells nothing of the server.
+    /// The response can't be read. It has run, and nothing follows for the server.
     Unreadable,
-    /// Cancelled; it may have run.
+    /// Cancelled. It may have run.
     Canceled,
-    /// Never sent.
+    /// It was not sent.
     NotSent,
 }
 
-/// A request as it arrives.
+/// A request that has arrived.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
     /// Its id.
@@ -236,13 +237,13 @@
     pub plan: String,
     /// Its customer.
     pub customer: u64,
-    /// Time until the client gives this try up, ms.
+    /// Time until the client gives up this try, ms.
     pub timeout_ms: f64,
-    /// Units drawn from the quota.
+    /// Units that it uses of the quota.
     pub units: f64,
-    /// How many limiters the customer's requests come in through.
+    /// Number of gateways that receive the customer's requests.
     pub gateways: usize,
-    /// A client's repeat, where clients mark it.
+    /// It is marked as a client's retry.
     pub retry: bool,
 }
 
@@ -251,75 +252,75 @@
 pub struct Outcome {
     /// The request.
     pub id: RequestId,
-    /// The attempt's number, from 0 in order of sending.
+    /// Number of the attempt, from 0 in order of sending.
     pub attempt: usize,
     /// The server it went to.
     pub server: ServerId,
     /// How it ended.
     pub status: Status,
-    /// True units, where they are settled afterwards; 0: none told.
+    /// True units, if they are settled afterwards; 0: not stated.
     pub settled_units: f64,
     /// Time since it was sent, ms.
     pub latency_ms: f64,
-    /// The request has had its final answer.
+    /// The request has its final answer.
     pub request_closed: bool,
-    /// The server's load report, by name of its figure.
+    /// The server's load report: value by name.
     pub load: BTreeMap<String, f64>,
 }
 
-/// What a limiter is told.
+/// Input of a limiter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The list of servers, or a change of it.
+    /// The server list, or a change of it.
     Servers(ListKind, Vec<ServerEntry>),
     /// A request arrived.
     Request(Arrival),
-    /// A streamed answer has started.
+    /// A streamed response has started: request, number of the attempt.
     StreamStarted(RequestId, usize),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client left, or its final answer is overdue.
+    /// The client has left, or its final answer is overdue.
     Abandoned(RequestId),
-    /// A timer set by this limiter is due.
+    /// A timer is due: token.
     Timer(String),
     /// A probe ended: server, status, latency in ms.
     Probed(ServerId, Status, f64),
-    /// A counter call ended: name, status, total after the call.
+    /// A counter call ended: name of the count, status, total after the call.
     CountReply(String, Status, f64),
-    /// A counter call that had timed out was answered after all: name, and the total after it (`None`: never).
+    /// A counter call that had timed out was answered late: name, total after the call (`None`: it never will be).
     LateCount(String, Option<f64>),
-    /// A message of another limiter; this module sends none and reads none.
+    /// A message of another gateway: sender, content. This module neither sends nor reads any.
     Peer(usize, Vec<u8>),
 }
 
-/// What a limiter asks for.
+/// Output of a limiter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt at a server with a time-out in ms (0: until the client gives up).
+    /// Send an attempt to a server, with a timeout in ms (0: until the client gives up).
     Send(RequestId, ServerId, f64),
-    /// Final answer: refused, retry does no harm; advice to stay away in ms (0: none).
+    /// Final answer: refused, a retry does no harm. With a retry-after time in ms (0: none).
     Refuse(RequestId, f64),
-    /// Final answer: failed, no assurance.
+    /// Final answer: failed, the request may have run.
     Fail(RequestId),
-    /// Stop waiting for one attempt.
+    /// Cancel an attempt.
     Cancel(RequestId, usize),
-    /// Test a server.
+    /// Probe a server.
     Probe(ServerId),
     /// Subscribe to the server list.
     SubscribeServers,
-    /// Ask for the whole server list once.
+    /// Fetch the complete server list once.
     FetchServers,
-    /// Add an amount to a named count: name, amount, life of a new name in ms.
+    /// Add to a count: name, amount, lifetime of a new count in ms.
     IncrementCounter(String, f64, f64),
-    /// Ask for a timer: token, delay in ms.
+    /// Set a timer: token, delay in ms.
     Timer(String, f64),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
 
-/// Settings that no limiter can work with, by the key at fault.
+/// Settings that a limiter can't work with, and the reason.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InvalidSettings(pub &'static str);
 
--- a/crates/decide/src/bin/nickeljunction-simhost.rs
+++ b/crates/decide/src/bin/nickeljunction-simhost.rs
@@ -1,5 +1,6 @@
-//! The adapter: hosts limiter instances on the simulator's wire. It translates and decides nothing. With `--fleet` it
-//! also hosts, where the settings allow messages, each instance's view of the fleet over `TELL` and `PEER`.
+//! The adapter of the simulator: hosts limiter instances behind its wire format and decides nothing itself. With
+//! `--fleet` it also hosts a view of the fleet for each instance, if the settings allow messages between instances: the
+//! views exchange messages by `TELL` and `PEER`.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use nickeljunction_decide::api::{Action, Event, ServerEntry, Settings};
@@ -12,56 +13,62 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
-/// Token of the view's timer, and its longest interval, ms: news wait no longer.
-const VIEW: &str = "fleet";
-const VIEW_MS: f64 = 100.0;
-/// The simulator's clock begins anywhere; incarnations want one that is past 2020, Unix ms.
-const CLOCK_AT: f64 = 1_790_000_000_000.0;
+/// Token of a view's timer, and its longest interval, ms, which limits the delay of its messages.
+const VIEW_TIMER: &str = "fleet";
+const MAX_VIEW_INTERVAL_MS: f64 = 100.0;
+/// Added to the simulator's clock, ms. That clock may start at any value, but the incarnation numbers of a view need
+/// Unix time after 2020.
+const CLOCK_OFFSET_MS: f64 = 1_790_000_000_000.0;
 
 #[derive(Default)]
-struct Host {
-    /// Views are kept, where the settings allow messages.
-    views: bool,
-    fleets: BTreeMap<u64, Fleet>,
+struct Adapter {
+    /// `--fleet`: hosts views of the fleet.
+    hosts_views: bool,
+    /// The views and limiters, by instance.
+    views: BTreeMap<u64, Fleet>,
+    limiters: BTreeMap<u64, Limiter>,
+    /// Time, number and current instance of the batch that is being read.
     now: f64,
     turn: u64,
     instance: u64,
-    limiters: BTreeMap<u64, Limiter>,
-    sheets: BTreeMap<u64, Vec<ServerEntry>>,
-    filling: Option<(u64, u64)>,
+    /// Server lists, by number.
+    lists: BTreeMap<u64, Vec<ServerEntry>>,
+    /// The list that is being read, and how many entries it still lacks.
+    open_list: Option<(u64, u64)>,
     reply: String,
-    speaker: Option<u64>,
+    /// The instance that the last lines of the reply belong to.
+    source: Option<u64>,
     actions: Vec<Action>,
 }
 
-impl Host {
-    /// Takes one line; true when the reply is ready to be written.
+impl Adapter {
+    /// Handles one line; true if the batch ends with it and the reply is complete.
     fn line(&mut self, text: &str) -> Result<bool, WireError> {
         let line = Line::parse(text)?;
-        if let Some((sheet, left)) = self.filling {
+        if let Some((list, left)) = self.open_list {
             if line.name != "ITEM" {
-                let why = format!("{left} entries still to come, found {}", line.name);
-                return Err(WireError { field: "Members".into(), reason: why });
+                let reason = format!("{left} entries still to come, found {}", line.name);
+                return Err(WireError { field: "Members".into(), reason });
             }
-            self.sheets.entry(sheet).or_default().push(line.server_entry()?);
-            self.filling = (left > 1).then_some((sheet, left - 1));
+            self.lists.entry(list).or_default().push(line.server_entry()?);
+            self.open_list = (left > 1).then_some((list, left - 1));
             return Ok(false);
         }
         match line.name {
             "FRAME" => (self.now, self.turn) = line.batch_header()?,
             "CONTEXT" => self.instance = line.integer("LimiterId")?,
             "SHEET" => {
-                let (sheet, entries) = (line.integer("Ref")?, line.integer("Members")?);
-                self.sheets.insert(sheet, Vec::new());
-                self.filling = (entries > 0).then_some((sheet, entries));
+                let (list, entries) = (line.integer("Ref")?, line.integer("Members")?);
+                self.lists.insert(list, Vec::new());
+                self.open_list = (entries > 0).then_some((list, entries));
             }
             "SYNC" => {
-                let (kind, sheet) = line.server_list_update()?;
-                let entries = match sheet {
+                let (kind, list) = line.server_list_update()?;
+                let entries = match list {
                     None => Vec::new(),
-                    Some(sheet) => self.sheets.get(&sheet).cloned().ok_or_else(|| WireError {
+                    Some(list) => self.lists.get(&list).cloned().ok_or_else(|| WireError {
                         field: "Ref".into(),
-                        reason: format!("no list {sheet} was given"),
+                        reason: format!("no list {list} was given"),
                     })?,
                 };
                 self.event(Event::Servers(kind, entries));
@@ -69,20 +76,20 @@
             "OPEN_INSTANCE" => {
                 let (seed, settings) = line.open_instance()?;
                 let limiter = Limiter::new(settings, seed)
-                    .map_err(|why| WireError { field: "Env".into(), reason: why.to_string() })?;
+                    .map_err(|error| WireError { field: "Env".into(), reason: error.to_string() })?;
                 let mail_per_s = line.number_or("Extra.MailPerS", 0.0)?;
-                if self.views && mail_per_s > 0.0 {
+                if self.hosts_views && mail_per_s > 0.0 {
                     self.open_view(limiter.settings(), mail_per_s, seed)?;
                 }
                 self.limiters.insert(self.instance, limiter);
             }
             "KILLED" => {
-                self.fleets.remove(&self.instance);
+                self.views.remove(&self.instance);
                 self.limiters.remove(&self.instance);
             }
             "GO" => {
                 self.reply.push_str(&format!("READY\tturn={}\n", self.turn));
-                self.speaker = None;
+                self.source = None;
                 return Ok(true);
             }
             "" if text.is_empty() => {}
@@ -95,58 +102,61 @@
         Ok(false)
     }
 
+    /// Creates the view of the current instance.
     fn open_view(&mut self, settings: &Settings, mail_per_s: f64, seed: u64) -> Result<(), WireError> {
-        let place = |number: usize| Place {
+        let member = |number: usize| Place {
             number: number as u16,
             name: format!("n{number}"),
             address: None,
             zone: String::new(),
         };
-        let roster = (0..settings.gateway_count).map(place).collect();
+        let roster = (0..settings.gateway_count).map(member).collect();
         let config = Config { me: settings.gateway_index as u16, roster, mail_per_s, epoch: 0, seed };
-        let fleet = Fleet::new(config, CLOCK_AT + self.now)
-            .map_err(|why| WireError { field: "Siblings".into(), reason: why.to_string() })?;
-        self.fleets.insert(self.instance, fleet);
-        self.tell_view(true);
+        let view = Fleet::new(config, CLOCK_OFFSET_MS + self.now)
+            .map_err(|error| WireError { field: "Siblings".into(), reason: error.to_string() })?;
+        self.views.insert(self.instance, view);
+        self.write_view_messages(true);
         Ok(())
     }
 
-    /// Tells what the view wants told, and sets its next timer if the last one has come.
-    fn tell_view(&mut self, timer: bool) {
-        let Some(fleet) = self.fleets.get_mut(&self.instance) else { return };
+    /// Writes the messages of the current instance's view and, if `set_timer`, its next timer.
+    fn write_view_messages(&mut self, set_timer: bool) {
+        let Some(view) = self.views.get_mut(&self.instance) else { return };
         let mut lines = String::new();
-        while let Some((to, bytes)) = fleet.transmit() {
+        while let Some((to, bytes)) = view.transmit() {
             lines.push_str(&format!("TELL\tTo={to}\tBytes={}\n", BASE64_STANDARD.encode(bytes)));
         }
-        while fleet.change().is_some() {}
-        if timer {
-            let after = (fleet.next_tick() - CLOCK_AT - self.now).clamp(1.0, VIEW_MS);
-            lines.push_str(&format!("SET_TIMER\tKeyBack={VIEW}\tAfterMs={after}\n"));
+        while view.change().is_some() {}
+        if set_timer {
+            let after = (view.next_tick() - CLOCK_OFFSET_MS - self.now).clamp(1.0, MAX_VIEW_INTERVAL_MS);
+            lines.push_str(&format!("SET_TIMER\tKeyBack={VIEW_TIMER}\tAfterMs={after}\n"));
         }
         if !lines.is_empty() {
-            self.speak();
+            self.write_source();
             self.reply.push_str(&lines);
         }
     }
 
-    fn speak(&mut self) {
-        if self.speaker != Some(self.instance) {
+    /// Writes which instance the next lines belong to, unless it is the same as before.
+    fn write_source(&mut self) {
+        if self.source != Some(self.instance) {
             self.reply.push_str(&format!("SOURCE\tLimiterId={}\n", self.instance));
-            self.speaker = Some(self.instance);
+            self.source = Some(self.instance);
         }
     }
 
+    /// Passes an event to the current instance and writes its actions. A panic becomes a `FATAL` line.
     fn event(&mut self, event: Event) {
-        if let Some(fleet) = self.fleets.get_mut(&self.instance) {
-            let now = CLOCK_AT + self.now;
+        if let Some(view) = self.views.get_mut(&self.instance) {
+            let now = CLOCK_OFFSET_MS + self.now;
             match &event {
                 Event::Peer(from, bytes) => {
-                    fleet.receive(now, *from as u16, bytes);
-                    return self.tell_view(false);
+                    view.receive(now, *from as u16, bytes);
+                    return self.write_view_messages(false);
                 }
-                Event::Timer(token) if token == VIEW => {
-                    fleet.tick(now);
-                    return self.tell_view(true);
+                Event::Timer(token) if token == VIEW_TIMER => {
+                    view.tick(now);
+                    return self.write_view_messages(true);
                 }
                 _ => {}
             }
@@ -155,15 +165,15 @@
             return;
         };
         let (now, actions) = (self.now, &mut self.actions);
-        let run = catch_unwind(AssertUnwindSafe(|| limiter.on_event(now, event, actions)));
-        if run.is_ok() && self.actions.is_empty() {
+        let result = catch_unwind(AssertUnwindSafe(|| limiter.on_event(now, event, actions)));
+        if result.is_ok() && self.actions.is_empty() {
             return;
         }
-        self.speak();
+        self.write_source();
         for action in self.actions.drain(..) {
             write_action(&action, &mut self.reply);
         }
-        if let Err(panic) = run {
+        if let Err(panic) = result {
             self.reply.push_str(&format!("FATAL\tWhat={}\n", one_line(&panic_text(&*panic))));
         }
     }
@@ -177,25 +187,28 @@
 fn run() -> Result<(), String> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
-    let views = match std::env::args().nth(1).as_deref() {
+    let hosts_views = match std::env::args().nth(1).as_deref() {
         None => false,
         Some("--fleet") => true,
-        Some(other) => return Err(format!("unknown word '{other}': --fleet, or none")),
+        Some(other) => return Err(format!("unknown argument '{other}': expected --fleet or nothing")),
     };
-    let mut host = Host { views, ..Host::default() };
+    let mut adapter = Adapter { hosts_views, ..Adapter::default() };
     let (mut text, mut number) = (Vec::new(), 0u64);
     loop {
         text.clear();
         number += 1;
-        if input.read_until(b'\n', &mut text).map_err(|why| format!("standard input: {why}"))? == 0 {
+        if input.read_until(b'\n', &mut text).map_err(|error| format!("standard input: {error}"))? == 0 {
             return Ok(());
         }
-        let line = std::str::from_utf8(&text).map_err(|why| format!("line {number}: not UTF-8: {why}"))?;
+        let line =
+            std::str::from_utf8(&text).map_err(|error| format!("line {number}: not UTF-8: {error}"))?;
         let line = line.trim_end_matches(['\n', '\r']);
-        if host.line(line).map_err(|why| format!("line {number}: {why}"))? {
-            output.write_all(host.reply.as_bytes()).map_err(|why| format!("standard output: {why}"))?;
-            output.flush().map_err(|why| format!("standard output: {why}"))?;
-            host.reply.clear();
+        if adapter.line(line).map_err(|error| format!("line {number}: {error}"))? {
+            output
+                .write_all(adapter.reply.as_bytes())
+                .map_err(|error| format!("standard output: {error}"))?;
+            output.flush().map_err(|error| format!("standard output: {error}"))?;
+            adapter.reply.clear();
         }
     }
 }
@@ -203,8 +216,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("nickeljunction-simhost: {why}");
+        Err(error) => {
+            eprintln!("nickeljunction-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/decide/src/wire.rs
+++ b/crates/decide/src/wire.rs
@@ -1,16 +1,16 @@
-//! Parses and prints the wire: tab-separated text lines. It translates and decides nothing.
+//! The simulator's wire format: tab-separated text lines. Parses events and settings, and writes actions.
 
 use crate::api::*;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What is wrong with a line: the field and why.
+/// A line that can't be parsed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WireError {
     /// The field that is missing or malformed.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: String,
 }
 
@@ -22,11 +22,11 @@
 
 impl std::error::Error for WireError {}
 
-fn error<T>(field: &str, why: impl Into<String>) -> Result<T, WireError> {
-    Err(WireError { field: field.to_string(), reason: why.into() })
+fn error<T>(field: &str, reason: impl Into<String>) -> Result<T, WireError> {
+    Err(WireError { field: field.to_string(), reason: reason.into() })
 }
 
-/// A line: its name and its fields.
+/// A parsed line.
 #[derive(Debug)]
 pub struct Line<'a> {
     /// The message name.
@@ -49,7 +49,7 @@
         Ok(Line { name, fields })
     }
 
-    /// A line made of pairs that were read elsewhere: a gateway's settings come as nested JSON.
+    /// A line made of pairs from another source: a gateway's settings come as nested JSON.
     pub fn from_pairs(name: &'a str, pairs: &'a [(String, String)]) -> Self {
         let fields = pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
         Line { name, fields }
@@ -67,7 +67,7 @@
         read_number(key, self.text(key)?)
     }
 
-    /// A number, or what it is where the line has none.
+    /// A number, or the default if the line has no such field.
     pub fn number_or(&self, key: &str, default: f64) -> Result<f64, WireError> {
         self.fields.get(key).map_or(Ok(default), |value| read_number(key, value))
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A required whole number.
+    /// A required integer.
     pub fn integer(&self, key: &str) -> Result<u64, WireError> {
         let text = self.text(key)?;
         text.parse().or_else(|_| error(key, format!("'{text}' is not a whole number")))
@@ -145,7 +145,7 @@
         })
     }
 
-    /// Kind and list number of a `SYNC`; a failed one names no list.
+    /// Kind and list number of a `SYNC`. A failed one has no list.
     pub fn server_list_update(&self) -> Result<(ListKind, Option<u64>), WireError> {
         let kind = match self.text("Mode")? {
             "INCREMENTAL" => ListKind::Incremental,
@@ -157,7 +157,7 @@
         Ok((kind, Some(self.integer("Ref")?)))
     }
 
-    /// The event that a line stands for; `None` for a name this reader does not know.
+    /// The event of a line; `None` if the message name is unknown.
     pub fn event(&self) -> Result<Option<Event>, WireError> {
         Ok(Some(match self.name {
             "ACCEPT" => Event::Request(Arrival {
@@ -200,7 +200,7 @@
                 let text = self.text("Bytes")?;
                 let bytes = match text {
                     "-" => Vec::new(),
-                    text => STANDARD.decode(text).or_else(|why| error("Bytes", why.to_string()))?,
+                    text => STANDARD.decode(text).or_else(|reason| error("Bytes", reason.to_string()))?,
                 };
                 Event::Peer(self.integer("From")? as usize, bytes)
             }
@@ -212,7 +212,7 @@
     pub fn open_instance(&self) -> Result<(u64, Settings), WireError> {
         let seed = match self.text("Nonce64")?.parse::<i128>() {
             Ok(seed) => seed as u64,
-            Err(why) => return error("Nonce64", why.to_string()),
+            Err(reason) => return error("Nonce64", reason.to_string()),
         };
         Ok((seed, self.settings()?))
     }
@@ -230,8 +230,8 @@
         self.fields.get(key).copied().unwrap_or_default().to_string()
     }
 
-    fn class(&self, at: u64) -> Result<Class, WireError> {
-        let key = |name: &str| format!("Classes.{at}.{name}");
+    fn class(&self, index: u64) -> Result<Class, WireError> {
+        let key = |name: &str| format!("Classes.{index}.{name}");
         let repeat = match self.text(&key("Repeat"))? {
             "repeatable" => RetrySafety::Idempotent,
             "by_key" => RetrySafety::Keyed,
@@ -257,8 +257,8 @@
         })
     }
 
-    fn plan(&self, at: u64) -> Result<Plan, WireError> {
-        let key = |name: &str| format!("TiersOfService.{at}.{name}");
+    fn plan(&self, index: u64) -> Result<Plan, WireError> {
+        let key = |name: &str| format!("TiersOfService.{index}.{name}");
         let number = |name: &str, default: f64| self.number_or(&key(name), default);
         Ok(Plan {
             name: self.text(&key("Name"))?.to_string(),
@@ -284,8 +284,8 @@
             zone: self.text_or_empty("Locality"),
             step_ms: self.number_or("StepMs", 1.0)?,
             min_subset: self.number_or("SubsetLeast", 0.0)?,
-            classes: (0..classes).map(|at| self.class(at)).collect::<Result<_, _>>()?,
-            plans: (0..plans).map(|at| self.plan(at)).collect::<Result<_, _>>()?,
+            classes: (0..classes).map(|index| self.class(index)).collect::<Result<_, _>>()?,
+            plans: (0..plans).map(|index| self.plan(index)).collect::<Result<_, _>>()?,
             counter_enabled: self.bool_or("Extra.Counter", false)?,
             counter_timeout_ms: self.number_or("Extra.CounterTimeoutMs", 0.0)?,
             settles_units: self.bool_or("Extra.Settles", false)?,
@@ -310,11 +310,11 @@
     }
 }
 
-/// Settings as the pairs that [`Line::from_pairs`] reads again, to the bit: figures are written so that they come back.
+/// The pairs from which [`Line::from_pairs`] and [`Line::settings`] restore these settings exactly: numbers are written
+/// such that parsing them gives the same bits.
 pub fn settings_to_pairs(settings: &Settings) -> Vec<(String, String)> {
     let mut pairs: Vec<(String, String)> = Vec::new();
     let mut put = |key: &str, value: String| pairs.push((key.to_string(), value));
-    let truth = |truth: bool| truth.to_string();
     put("Me", settings.gateway_index.to_string());
     put("Siblings", settings.gateway_count.to_string());
     put("Locality", settings.zone.clone());
@@ -322,18 +322,18 @@
     if settings.min_subset > 0.0 {
         put("SubsetLeast", settings.min_subset.to_string());
     }
-    put("Extra.Counter", truth(settings.counter_enabled));
+    put("Extra.Counter", settings.counter_enabled.to_string());
     put("Extra.CounterTimeoutMs", settings.counter_timeout_ms.to_string());
-    put("Extra.Settles", truth(settings.settles_units));
+    put("Extra.Settles", settings.settles_units.to_string());
     put("Extra.UnitsTop", settings.max_request_units.to_string());
     put("Discovery", if settings.subscribe { "subscribe" } else { "automatic" }.to_string());
-    put("Permissions.MayCancel", truth(settings.may_cancel));
+    put("Permissions.MayCancel", settings.may_cancel.to_string());
     put("Permissions.MaxAttempts", settings.max_attempts.to_string());
     put("Permissions.MaxRetryAfterMs", settings.max_retry_after_ms.to_string());
-    put("Permissions.RetryAfter", truth(settings.retry_after));
-    put("Clients.MarksRetry", truth(settings.marks_retry));
-    put("Permissions.Probing", truth(settings.probing));
-    put("Permissions.SecondCopies", truth(settings.hedging));
+    put("Permissions.RetryAfter", settings.retry_after.to_string());
+    put("Clients.MarksRetry", settings.marks_retry.to_string());
+    put("Permissions.Probing", settings.probing.to_string());
+    put("Permissions.SecondCopies", settings.hedging.to_string());
     put("Tariffs.Probe", settings.probe_fee.to_string());
     put("Tariffs.CrossZone", settings.cross_zone_fee.to_string());
     put("Guarantees.ColdFrom", settings.cold_start_share.to_string());
@@ -343,8 +343,8 @@
     put("Guarantees.FallMs", settings.overload_ms.to_string());
     put("Guarantees.GraceToAnswerMs", settings.answer_grace_ms.to_string());
     put("Classes.count", settings.classes.len().to_string());
-    for (at, class) in settings.classes.iter().enumerate() {
-        let mut put = |key: &str, value: String| put(&format!("Classes.{at}.{key}"), value);
+    for (index, class) in settings.classes.iter().enumerate() {
+        let mut put = |key: &str, value: String| put(&format!("Classes.{index}.{key}"), value);
         put("Name", class.name.clone());
         put("AimMs", class.target_latency_ms.to_string());
         put("GiveUpMs", class.client_timeout_ms.to_string());
@@ -362,12 +362,13 @@
         put("Group", group.to_string());
         put("KeyTtlMs", class.key_ttl_ms.to_string());
         put("LateShare", class.late_share.to_string());
-        put("Stream", truth(class.stream));
+        put("Stream", class.stream.to_string());
         put("Worth", class.worth.to_string());
     }
     put("TiersOfService.count", settings.plans.len().to_string());
-    for (at, plan) in settings.plans.iter().enumerate() {
-        let mut put = |key: &str, value: f64| put(&format!("TiersOfService.{at}.{key}"), value.to_string());
+    for (index, plan) in settings.plans.iter().enumerate() {
+        let mut put =
+            |key: &str, value: f64| put(&format!("TiersOfService.{index}.{key}"), value.to_string());
         put("Refill", plan.rate);
         put("PeakUnits", plan.burst);
         put("AtOnce", plan.max_concurrent);
@@ -378,8 +379,8 @@
         put("NeverOverDepth", plan.ceiling_burst);
         put("CeilingSlack", plan.ceiling_slack);
     }
-    for (at, plan) in settings.plans.iter().enumerate() {
-        pairs.push((format!("TiersOfService.{at}.Name"), plan.name.clone()));
+    for (index, plan) in settings.plans.iter().enumerate() {
+        pairs.push((format!("TiersOfService.{index}.Name"), plan.name.clone()));
     }
     pairs
 }
@@ -392,28 +393,28 @@
 }
 
 /// Appends the line of one action.
-pub fn write_action(action: &Action, to: &mut String) {
-    let done = match action {
-        Action::Send(id, server, limit) => {
-            writeln!(to, "DISPATCH\tId={id}\tServer={server}\tLimitMs={limit:.3}")
+pub fn write_action(action: &Action, out: &mut String) {
+    let written = match action {
+        Action::Send(id, server, timeout) => {
+            writeln!(out, "DISPATCH\tId={id}\tServer={server}\tLimitMs={timeout:.3}")
         }
-        Action::Refuse(id, pause) => writeln!(to, "SHED\tId={id}\tPauseMs={pause:.3}"),
-        Action::Fail(id) => writeln!(to, "FAIL\tId={id}"),
-        Action::Cancel(id, attempt) => writeln!(to, "RETRACT\tId={id}\tGo={attempt}"),
-        Action::Probe(server) => writeln!(to, "SOUND_OUT\tServer={server}"),
-        Action::SubscribeServers => writeln!(to, "TRACK\tActive=1"),
-        Action::FetchServers => writeln!(to, "QUERY_ALL"),
+        Action::Refuse(id, pause) => writeln!(out, "SHED\tId={id}\tPauseMs={pause:.3}"),
+        Action::Fail(id) => writeln!(out, "FAIL\tId={id}"),
+        Action::Cancel(id, attempt) => writeln!(out, "RETRACT\tId={id}\tGo={attempt}"),
+        Action::Probe(server) => writeln!(out, "SOUND_OUT\tServer={server}"),
+        Action::SubscribeServers => writeln!(out, "TRACK\tActive=1"),
+        Action::FetchServers => writeln!(out, "QUERY_ALL"),
         Action::IncrementCounter(name, add, ttl) => {
-            writeln!(to, "INCR\tTtlMs={ttl:.3}\tAdd={add}\tCounterKey={name}")
+            writeln!(out, "INCR\tTtlMs={ttl:.3}\tAdd={add}\tCounterKey={name}")
         }
-        Action::Timer(token, after) => writeln!(to, "SET_TIMER\tKeyBack={token}\tAfterMs={after:.3}"),
-        Action::CloseIdle(server) => writeln!(to, "HANG_UP\tServer={server}"),
-        Action::Log(text) => writeln!(to, "WRITE_LOG\tWhat={}", one_line(text)),
+        Action::Timer(token, after) => writeln!(out, "SET_TIMER\tKeyBack={token}\tAfterMs={after:.3}"),
+        Action::CloseIdle(server) => writeln!(out, "HANG_UP\tServer={server}"),
+        Action::Log(text) => writeln!(out, "WRITE_LOG\tWhat={}", one_line(text)),
     };
-    done.expect("writing to a String cannot fail");
+    written.expect("writing to a String cannot fail");
 }
 
-/// Text made fit for one line: tabs and line ends become spaces.
+/// Replaces tabs and line ends by spaces, so that the text fits in one field.
 pub fn one_line(text: &str) -> String {
     text.replace(['\t', '\n', '\r'], " ")
 }
