--- a/crates/decide/tests/module/events.rs
+++ b/crates/decide/tests/module/events.rs
@@ -1,27 +1,27 @@
-//! Events in any order: odd ones, and seeded random rounds.
+//! Events in any order: unexpected ones, and seeded random sequences.
 
 use crate::common::*;
 use nickeljunction_decide::api::*;
 use std::collections::BTreeMap;
 
 #[test]
-fn odd_but_legal_events_do_no_harm() {
+fn unexpected_events_are_tolerated() {
     let mut rig = Rig::new(settings(), 2);
-    rig.tell(Event::Abandoned("nobody".into()));
+    rig.handle(Event::Abandoned("nobody".into()));
     rig.outcome("nobody", 3, "nowhere", Status::Ok);
     rig.counted("", Status::Ok, 1.0);
     rig.counted("0x.y", Status::Ok, 1.0);
-    rig.tell(Event::Timer("stale".into()));
-    rig.tell(Event::StreamStarted("nobody".into(), 0));
-    rig.tell(Event::Servers(ListKind::Failed, Vec::new()));
+    rig.handle(Event::Timer("stale".into()));
+    rig.handle(Event::StreamStarted("nobody".into(), 0));
+    rig.handle(Event::Servers(ListKind::Failed, Vec::new()));
     let out = rig.request("a", "unheard-of", "free");
     assert!(refused(&out, "a"));
 }
 
-/// Seeded random rounds: one final answer each, none sent after it, class kinds kept, nothing to a drained
-/// server, and no state left when all has ended.
+/// Seeded random events: each request gets one final answer and is not sent after it, the retry safety of its class is
+/// kept, a draining server gets nothing new, and no state is left at the end.
 #[test]
-fn random_rounds_keep_what_one_limiter_can_keep() {
+fn random_events_keep_the_invariants_of_one_limiter() {
     for seed in 0..20u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut rig = Rig::new(settings(), 5);
@@ -33,9 +33,9 @@
         for round in 0..1500 {
             rig.now += rng.f64() * 8.0;
             let mut out = Vec::new();
-            let asking = round < 1000;
+            let arriving = round < 1000;
             match rng.u32(0..10) {
-                0..=2 if asking => {
+                0..=2 if arriving => {
                     let class = ["safe", "keyed", "once"][rng.usize(0..3)];
                     let id = format!("r{round}");
                     tries.insert(id.clone(), (0, false, class));
@@ -46,25 +46,25 @@
                     let all = [Status::Ok, Status::Ok, Status::Failed, Status::QueueFull, Status::TimedOut];
                     let status = all[rng.usize(0..all.len())];
                     let done = ended.contains_key(&id);
-                    let closed = done || status == Status::Ok;
+                    let request_closed = done || status == Status::Ok;
                     let state = tries.get_mut(&id).expect("sent");
                     state.1 |= status != Status::QueueFull;
-                    if closed && !done {
+                    if request_closed && !done {
                         ended.insert(id.clone(), 1);
                     }
-                    let (server, settled, latency_ms) = (to, 0.0, rng.f64() * 300.0);
+                    let (server, settled_units, latency_ms) = (to, 0.0, rng.f64() * 300.0);
                     let load = BTreeMap::new();
-                    let told = Outcome {
+                    let outcome = Outcome {
                         id,
                         attempt,
                         server,
                         status,
-                        settled_units: settled,
+                        settled_units,
                         latency_ms,
-                        request_closed: closed,
+                        request_closed,
                         load,
                     };
-                    out.extend(rig.tell(Event::Outcome(told)));
+                    out.extend(rig.handle(Event::Outcome(outcome)));
                 }
                 6..=7 if !calls.is_empty() => {
                     let (name, add) = calls.remove(0);
@@ -77,19 +77,19 @@
                 8 if round == 700 || (!drained && round > 500) => {
                     drained = true;
                     let gone = vec![server(0, ServerState::Draining, 0.0)];
-                    out.extend(rig.tell(Event::Servers(ListKind::Incremental, gone)));
+                    out.extend(rig.handle(Event::Servers(ListKind::Incremental, gone)));
                 }
-                _ => out.extend(rig.tell(Event::Timer("sweep".into()))),
+                _ => out.extend(rig.handle(Event::Timer("sweep".into()))),
             }
             for action in out {
                 match action {
                     Action::Send(id, to, _) => {
                         assert!(!ended.contains_key(&id), "{id} sent after its answer");
-                        assert!(!drained || to != "s0", "sent to a drained server");
+                        assert!(!drained || to != "s0", "sent to a draining server");
                         let state = tries.get_mut(&id).expect("asked");
                         assert!(state.2 != "once" || !state.1, "{id} sent again after it may have run");
-                        let out_now = open.iter().any(|(other, ..)| *other == id);
-                        assert!(state.2 != "once" || !out_now, "{id} sent twice at once");
+                        let in_flight = open.iter().any(|(other, ..)| *other == id);
+                        assert!(state.2 != "once" || !in_flight, "{id} has two attempts in flight");
                         open.push((id, state.0, to));
                         state.0 += 1;
                         assert!(state.0 <= 3);
@@ -107,19 +107,19 @@
             }
         }
         for (id, attempt, server) in std::mem::take(&mut open) {
-            let (status, settled, latency_ms, load) = (Status::Ok, 0.0, 1.0, BTreeMap::new());
+            let (status, settled_units, latency_ms, load) = (Status::Ok, 0.0, 1.0, BTreeMap::new());
             ended.entry(id.clone()).or_insert(1);
-            let told = Outcome {
+            let outcome = Outcome {
                 id,
                 attempt,
                 server,
                 status,
-                settled_units: settled,
+                settled_units,
                 latency_ms,
                 request_closed: true,
                 load,
             };
-            rig.tell(Event::Outcome(told));
+            rig.handle(Event::Outcome(outcome));
         }
         for action in rig.run(3_000.0) {
             if let Action::Refuse(id, _) | Action::Fail(id) = action {
@@ -129,6 +129,6 @@
         for id in tries.keys() {
             assert_eq!(ended.get(id), Some(&1), "seed {seed}: {id} needs one final answer");
         }
-        assert_eq!(rig.limiter.open_request_count(), 0, "seed {seed}: state is freed");
+        assert_eq!(rig.limiter.open_request_count(), 0, "seed {seed}: state is left");
     }
 }
--- a/crates/decide/tests/module/main.rs
+++ b/crates/decide/tests/module/main.rs
@@ -1,4 +1,4 @@
-//! The decision module alone, driven by events: one small test for each guard or failure found.
+//! Tests of the decision module by events: one small test for each rule, and for each fault found.
 
 mod attempts;
 mod common;
--- a/crates/decide/tests/wire.rs
+++ b/crates/decide/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: round trips, malformed lines and the adapter as a process.
+//! The simulator's wire format: parsing, malformed lines, and the adapter as a process.
 
 use nickeljunction_decide::api::*;
 use nickeljunction_decide::wire::{write_action, Line};
@@ -6,11 +6,11 @@
 use std::process::{Command, Stdio};
 
 fn event(text: &str) -> Result<Option<Event>, String> {
-    let line = Line::parse(text).map_err(|why| why.to_string())?;
-    line.event().map_err(|why| why.to_string())
+    let line = Line::parse(text).map_err(|reason| reason.to_string())?;
+    line.event().map_err(|reason| reason.to_string())
 }
 
-fn drill(input: &str) -> (bool, String, String) {
+fn run_adapter(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_nickeljunction-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -24,30 +24,30 @@
 }
 
 #[test]
-fn a_request_is_read_and_unknown_fields_are_skipped() {
-    let told = event("ACCEPT\tId=r-1\tClass=c\tPatienceLeftMs=240.5\tQuotaUnits=2\tContract=p\tDoors=3\tCustomer=77\tNew=1");
-    let Ok(Some(Event::Request(arrival))) = told else { panic!("{told:?}") };
+fn request_line_is_parsed_and_unknown_fields_are_ignored() {
+    let parsed = event("ACCEPT\tId=r-1\tClass=c\tPatienceLeftMs=240.5\tQuotaUnits=2\tContract=p\tDoors=3\tCustomer=77\tNew=1");
+    let Ok(Some(Event::Request(arrival))) = parsed else { panic!("{parsed:?}") };
     assert_eq!((arrival.id.as_str(), arrival.timeout_ms, arrival.units), ("r-1", 240.5, 2.0));
     assert_eq!((arrival.gateways, arrival.customer, arrival.retry), (3, 77, false));
     assert_eq!(event("WHATEVER\tA=1"), Ok(None));
 }
 
 #[test]
-fn an_outcome_carries_its_load_report() {
-    let told = event("REPLY\tId=r\tDisposition=TimedOut\tGo=1\tServer=a:1\tPressure=mean_ms:12.5,depth:3");
-    let Ok(Some(Event::Outcome(outcome))) = told else { panic!("{told:?}") };
+fn outcome_line_includes_the_load_report() {
+    let parsed = event("REPLY\tId=r\tDisposition=TimedOut\tGo=1\tServer=a:1\tPressure=mean_ms:12.5,depth:3");
+    let Ok(Some(Event::Outcome(outcome))) = parsed else { panic!("{parsed:?}") };
     assert_eq!((outcome.status, outcome.attempt, outcome.request_closed), (Status::TimedOut, 1, false));
     assert_eq!(outcome.load.get("mean_ms"), Some(&12.5));
 }
 
 #[test]
-fn a_count_without_its_sum_is_fine_only_when_it_failed() {
+fn count_reply_may_lack_its_sum_only_after_a_failure() {
     assert!(event("RECKONED\tCounterKey=k\tDisposition=TimedOut").is_ok());
     assert!(event("RECKONED\tCounterKey=k\tDisposition=Ok").unwrap_err().contains("Sum"));
 }
 
 #[test]
-fn malformed_lines_name_the_field() {
+fn parse_errors_name_the_field() {
     for (text, field) in [
         ("ACCEPT\tClass=c\tPatienceLeftMs=1", "Id"),
         ("ACCEPT\tId=r\tClass=c\tPatienceLeftMs=soon", "PatienceLeftMs"),
@@ -57,13 +57,13 @@
         ("TIMER", "KeyBack"),
         ("ACCEPT\tId", "Id"),
     ] {
-        let why = event(text).expect_err(text);
-        assert!(why.contains(field), "{text}: {why}");
+        let reason = event(text).expect_err(text);
+        assert!(reason.contains(field), "{text}: {reason}");
     }
 }
 
 #[test]
-fn actions_are_printed_as_the_wire_wants_them() {
+fn actions_are_written_in_the_wire_format() {
     let lines = [
         (Action::Send("r".into(), "a:1".into(), 80.0), "DISPATCH\tId=r\tServer=a:1\tLimitMs=80.000\n"),
         (Action::IncrementCounter("k".into(), -2.0, 60.0), "INCR\tTtlMs=60.000\tAdd=-2\tCounterKey=k\n"),
@@ -85,29 +85,29 @@
 const ASK: &str = "ACCEPT\tId=r\tClass=c\tContract=p\tPatienceLeftMs=400\n";
 
 #[test]
-fn the_adapter_answers_a_batch_and_forgets_a_killed_instance() {
+fn adapter_answers_a_batch_and_drops_a_killed_instance() {
     let input = format!("FRAME\tWallMs=1.5\tturn=1\n{OPEN}{ASK}GO\nFRAME\tWallMs=9\tturn=2\nCONTEXT\tLimiterId=3\nKILLED\n{ASK}GO\n");
-    let (fine, out, err) = drill(&input);
-    assert!(fine, "{err}");
+    let (success, out, err) = run_adapter(&input);
+    assert!(success, "{err}");
     assert!(out.contains("SOURCE\tLimiterId=3\n") && out.contains("DISPATCH\tId=r\tServer=a:1"), "{out}");
     assert!(out.ends_with("READY\tturn=1\nREADY\tturn=2\n"), "{out}");
 }
 
 #[test]
-fn the_adapter_names_line_and_field_of_what_is_malformed() {
-    let (fine, _, err) = drill("FRAME\tWallMs=1\tturn=1\nCONTEXT\tLimiterId=three\nGO\n");
+fn adapter_error_names_line_and_field() {
+    let (success, _, err) = run_adapter("FRAME\tWallMs=1\tturn=1\nCONTEXT\tLimiterId=three\nGO\n");
     assert!(
-        !fine && err.contains("line 2") && err.contains("LimiterId") && !err.contains("panicked"),
+        !success && err.contains("line 2") && err.contains("LimiterId") && !err.contains("panicked"),
         "{err}"
     );
-    let (fine, _, err) =
-        drill("FRAME\tWallMs=1\tturn=1\nSHEET\tRef=0\tMembers=2\nITEM\tMode=U\tServer=a\nGO\n");
-    assert!(!fine && err.contains("line 4") && err.contains("Members"), "{err}");
+    let (success, _, err) =
+        run_adapter("FRAME\tWallMs=1\tturn=1\nSHEET\tRef=0\tMembers=2\nITEM\tMode=U\tServer=a\nGO\n");
+    assert!(!success && err.contains("line 4") && err.contains("Members"), "{err}");
 }
 
-/// A trace holds settings as pairs: a replay must have the very same.
+/// A trace stores settings as pairs, and a replay needs exactly the same settings.
 #[test]
-fn settings_come_back_from_their_pairs_to_the_bit() {
+fn settings_survive_a_round_trip_through_pairs() {
     let class = Class {
         name: "c".into(),
         target_latency_ms: 0.1 + 0.2,
