--- a/crates/decide/src/decide/admission.rs
+++ b/crates/decide/src/decide/admission.rs
@@ -34,7 +34,8 @@
             size,
             ..Request::default()
         };
-        // The limits of hundreds of gateways bind nothing: low density is shed here, before it draws units.
+        // The server limits of hundreds of gateways together bind nothing, so requests of low density are
+        // shed here, before they draw units.
         let density = request.value / self.expected(&request);
         self.mean_density += CLASS_GAIN * (density - self.mean_density);
         request.relative_density = if arrival.retry { 0.0 } else { density / self.mean_density };
--- a/crates/decide/src/decide/choice.rs
+++ b/crates/decide/src/decide/choice.rs
@@ -43,8 +43,7 @@
         let mut candidates: Vec<ServerId> = up.map(|(id, _)| id.clone()).collect();
         let first = (self.settings.gateway_index as f64 * 0.618_033_988_75).fract() * candidates.len() as f64;
         candidates.rotate_left(first as usize);
-        // Distant servers are used if nearer ones are too few; the stable sort keeps the rotation among
-        // equals.
+        // Distant servers are used if nearer ones are too few. A stable sort keeps the rotation.
         let place = |id: &ServerId| (self.servers[id].distance, self.servers[id].rank);
         candidates.sort_by(|a, b| place(a).partial_cmp(&place(b)).unwrap_or(Ordering::Equal));
         self.candidates = candidates;
--- a/crates/decide/src/decide/health.rs
+++ b/crates/decide/src/decide/health.rs
@@ -18,7 +18,7 @@
 /// First and longest pause before a test of an ejected server, in mean latencies.
 const TEST_PAUSE: f64 = 5.0;
 const MAX_TEST_PAUSE: f64 = 40.0;
-/// Limit on attempts in flight at a server: minimum, congestion that raises or lowers it, and factor.
+/// Limit on attempts in flight at a server: minimum, congestion that raises or lowers it, lowering factor.
 const MIN_LIMIT: f64 = 1.0;
 const RAISE_BELOW: f64 = 1.1;
 const LOWER_ABOVE: f64 = 1.45;
--- a/crates/decide/src/decide/leases.rs
+++ b/crates/decide/src/decide/leases.rs
@@ -17,7 +17,7 @@
 const PROB_AFTER_SILENCE: f64 = 0.5;
 const PROB_STEP: f64 = 0.03;
 const PROB_FACTOR: f64 = 0.7;
-/// Greatest effect of a request's relative density, up or down, on its probability of a fetch.
+/// Bound on a request's relative density, up and down, where it changes the probability of a fetch.
 const MAX_DENSITY: f64 = 2.0;
 /// A reply slower than this fraction of the way from the fastest one to the timeout indicates overload: a
 /// distant or slow counter is never quick. The fastest reply grows by this factor with each reply.
@@ -43,8 +43,7 @@
         let (mut rate, mut capacity, has_ceiling) = (plan.rate, plan.burst, plan.ceiling_rate > 0.0);
         let (mut local_max, mut local_rate) = (0.0, 0.0);
         if has_ceiling {
-            // All local shares fit under the ceiling with two capacities, one on either side of a window's
-            // start.
+            // All local shares fit the ceiling with two capacities, one on each side of a window's start.
             local_max = if gateways * max_units <= plan.ceiling_burst / 2.0 { max_units } else { 0.0 };
             let most = (plan.ceiling_burst + plan.ceiling_slack - gateways * local_max) / 2.0;
             rate = if rate > 0.0 { rate.min(plan.ceiling_rate) } else { plan.ceiling_rate / 2.0 };
@@ -113,7 +112,8 @@
         let barred = lost && self.has_ceiling;
         let granted = if barred { 0.0 } else { (free + ROUNDING).floor().clamp(0.0, call.fetch) };
         if granted < call.fetch.min(1.0) && self.gateways > FEW_GATEWAYS {
-            // No longer than an empty bucket takes to fill: customers of slow plans were refused for minutes.
+            // No longer than an empty bucket takes to fill: with many gateways the customers of a slow plan
+            // were refused for minutes.
             self.empty_until = now + (EMPTY_PART * call.fetch * self.gateways / self.rate).min(self.burst_ms);
         }
         // Sampled units beyond the quota must not count against later requests.
@@ -128,7 +128,7 @@
         self.own_total += call.amount();
         self.correction += correction;
         // Units beyond the capacity are about to be returned: counting them would refuse for seconds. After a
-        // loss `min_total` judges the call with the correction; by the refill alone it was undone.
+        // loss the reply to the correction is judged by `min_total`; by the refill alone it was undone.
         self.min_total = if lost { total + correction } else { 0.0 };
         self.known_total = Some((total + correction).min(refilled + self.capacity));
         lost
@@ -197,8 +197,8 @@
         // A wrong decision costs more for a high density, so it is fetched for more often.
         let prob = self.fetch_prob.powf(1.0 / density.clamp(1.0 / MAX_DENSITY, MAX_DENSITY));
         let chosen = self.rng.f64() < prob;
-        // Trust pays while fetches are covered and the fleet has capacity; most retries were refused for
-        // cause.
+        // Trust in a customer pays while its fetches are covered and the fleet has capacity. Most requests
+        // marked as retries were refused for a reason.
         let excess_cost = self.settings.plans[lease.plan].excess_cost;
         let trust = lease.trust(self.now, self.plan_trust[lease.plan]);
         let capacity = self.admission.powf(1.0 / (1.0 + self.quick_answers));
