--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -95,8 +95,8 @@
         guard!(TruncationUnsynced, self.synced.last_index = self.synced.last_index.min(index - 1), ());
     }
 
-    /// A leader's snapshot up to `index` replaced the start of the log; `kept_entries`: the entries after it remained. Up to
-    /// `commit` the log was, and is, the leader's.
+    /// A leader's snapshot up to `index` replaced the start of the log; `kept_entries`: the entries after it
+    /// remained. Up to `commit` the log was, and is, the leader's.
     pub(crate) fn on_snapshot_installed(&mut self, index: u64, kept_entries: bool, commit: u64) {
         if !kept_entries {
             guard!(SnapshotTruncates, self.on_truncated(commit + 1), ());
@@ -130,7 +130,8 @@
         };
         let empty_write = Write { ticket: write.ticket, after: write.after, ..Write::default() };
         if write == empty_write {
-            // Nothing changed. After a failure something is written all the same, to learn whether the disk works again.
+            // Nothing changed. After a failure something is written all the same, to learn whether the disk works
+            // again.
             self.retry_due?;
             write.hard = Some(hard);
         }
@@ -164,8 +165,8 @@
         any
     }
 
-    /// The write `ticket` failed, and with it all later ones: any part of them that reached the disk is overwritten by the
-    /// next write, at `retry_at` or later. Returns false for a write that is no longer valid.
+    /// The write `ticket` failed, and with it all later ones: any part of them that reached the disk is overwritten
+    /// by the next write, at `retry_at` or later. Returns false for a write that is no longer valid.
     pub(crate) fn on_failed(&mut self, ticket: u64, retry_at: u64) -> bool {
         if !self.pending.iter().any(|write| write.ticket == ticket) {
             return false;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,5 @@
-//! Elections: first a pre-vote, which changes nothing, then the vote. Each takes a majority of every member list in force.
+//! Elections: first a pre-vote, which changes nothing, then the vote. Each takes a majority of every member list in
+//! force.
 
 use crate::leader::LeaderState;
 use crate::messages::Msg;
@@ -73,9 +74,9 @@
         self.log.all_members().fold(0, add) >> 1 | 1
     }
 
-    /// Records that a member neither leads nor follows. Once that holds for all others, with the same members in their logs,
-    /// no leader's lease can rely on an answer from before this member's restart: a leader that this member doesn't know
-    /// would be in the log of one of them.
+    /// Records that a member neither leads nor follows. Once that holds for all others, with the same members in
+    /// their logs, no leader's lease can rely on an answer from before this member's restart: a leader that this
+    /// member doesn't know would be in the log of one of them.
     fn release_restart_lease(&mut self, from: Option<MemberId>) {
         let other_members = self.other_members();
         let Some(lease) = &mut self.restart_lease else { return };
@@ -158,9 +159,9 @@
         granted: bool,
         free_checksum: u64,
     ) {
-        // A reply to a request from before the restart may arrive late. A member that said in this term, to a request of
-        // this term, that it is free has not led in this term since: it was no candidate in it, and if it becomes one
-        // later, that is in a later term.
+        // A reply to a request from before the restart may arrive late. A member that said in this term, to a request
+        // of this term, that it is free has not led in this term since: it was no candidate in it, and if it becomes
+        // one later, that is in a later term.
         let is_current = asked_term == self.hard.term && term == self.hard.term;
         if is_current && free_checksum == self.member_set_checksum() {
             self.release_restart_lease(Some(from.id));
@@ -197,8 +198,8 @@
         self.log.member_lists().take(guard!(JointMajorities, 2, 1)).all(is_majority)
     }
 
-    /// Requests votes once the candidate's own vote and its log are synced: otherwise it might lose entries with the power
-    /// and then be elected by votes given for the longer log.
+    /// Requests votes once the candidate's own vote and its log are synced: otherwise it might lose entries with the
+    /// power and then be elected by votes given for the longer log.
     pub(crate) fn request_votes(&mut self) {
         let log_synced = guard!(CandidacySynced, self.disk.synced_index() >= self.log.last(), true);
         let Role::Candidate { votes, since, requested } = &mut self.role else { return };
@@ -250,8 +251,8 @@
         }
     }
 
-    /// Handles [`Msg::Resign`]: the leader no longer leads, a member is about to stop, or the leader allows this member to
-    /// stop.
+    /// Handles [`Msg::Resign`]: the leader no longer leads, a member is about to stop, or the leader allows this
+    /// member to stop.
     pub(crate) fn on_resign(&mut self, from: &Member) {
         if self.leaving {
             self.may_stop = true;
--- a/crates/consensus/src/guards.rs
+++ b/crates/consensus/src/guards.rs
@@ -1,4 +1,5 @@
-//! The guards of this crate that tests may disable one at a time (feature `model`), and which are disabled in this thread.
+//! The guards of this crate that tests may disable one at a time (feature `model`), and which are disabled in this
+//! thread.
 
 use std::cell::Cell;
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,8 +2,8 @@
 //! a state machine without I/O.
 //!
 //! [`Consensus`] receives the time of a monotonic clock (ms), messages and the results of disk writes. What has to be
-//! written, sent and applied is collected until [`Consensus::take_outputs`]. After every call that changes something the
-//! embedding program takes the [`Outputs`] and, in this order,
+//! written, sent and applied is collected until [`Consensus::take_outputs`]. After every call that changes something
+//! the embedding program takes the [`Outputs`] and, in this order,
 //!
 //! 1. loads [`Outputs::restored_state`] into its state, then applies [`Outputs::committed`],
 //! 2. sends [`Outputs::send`] (messages that must wait for the disk aren't in there yet),
@@ -23,14 +23,15 @@
 //!   .replicated_to_all_reachable(now, index) .disk_failed()
 //! ```
 //!
-//! Guarantees: an index that came out as committed is on a majority of disks and comes out on every member, in the same
-//! order; a term has at most one leader; a read that came out as ready sees everything that was committed anywhere before
-//! the read was requested. A member's identity is tied to its disk: its number is drawn when the disk is first written, so
-//! that a wiped machine comes back under another identity, which neither votes nor counts before the leader has made it a
-//! member.
+//! Guarantees: an index that came out as committed is on a majority of disks and comes out on every member, in the
+//! same order; a term has at most one leader; a read that came out as ready sees everything that was committed
+//! anywhere before the read was requested. A member's identity is tied to its disk: its number is drawn when the disk
+//! is first written, so that a wiped machine comes back under another identity, which neither votes nor counts before
+//! the leader has made it a member.
 
-/// `guard!(Name, with, without)` evaluates to `with`. In builds for the model (feature `model`, used by the tests alone) a
-/// test may disable the guard `Name`, and then it evaluates to `without`: this shows that each guard is needed.
+/// `guard!(Name, with, without)` evaluates to `with`. In builds for the model (feature `model`, used by the tests
+/// alone) a test may disable the guard `Name`, and then it evaluates to `without`: this shows that each guard is
+/// needed.
 #[cfg(not(feature = "model"))]
 macro_rules! guard {
     ($name:ident, $with:expr, $without:expr) => {
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,5 +1,5 @@
-//! The log in memory: the entries after a base index, the newest snapshot, and the member lists by the entry from which on
-//! each is in force.
+//! The log in memory: the entries after a base index, the newest snapshot, and the member lists by the entry from
+//! which on each is in force.
 
 use crate::entry::{Body, Entry, Snapshot};
 use nickeljunction_messages::{Member, MemberId};
@@ -190,9 +190,9 @@
         self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
     }
 
-    /// Makes a snapshot of the program's own state after the entry at `index` and drops entries long before it. Returns
-    /// false, and does nothing, if the snapshot would be no newer than the last one, if the entry is not in memory, or if
-    /// one member was replacing another at that entry, as a snapshot holds only one member list.
+    /// Makes a snapshot of the program's own state after the entry at `index` and drops entries long before it.
+    /// Returns false, and does nothing, if the snapshot would be no newer than the last one, if the entry is not in
+    /// memory, or if one member was replacing another at that entry, as a snapshot holds only one member list.
     pub(crate) fn compact(&mut self, index: u64, state: String) -> bool {
         let Some(term) = self.term(index).filter(|_| index > self.snapshot_index()) else { return false };
         let membership = self.membership_at(index);
@@ -241,7 +241,8 @@
         kept_entries
     }
 
-    /// Index of the first entry in the run of entries of one term that includes `index`, but no entry at or before `floor`.
+    /// Index of the first entry in the run of entries of one term that includes `index`, but no entry at or before
+    /// `floor`.
     pub(crate) fn first_of_term_run(&self, index: u64, floor: u64) -> u64 {
         let term = self.term(index);
         let mut start = index;
--- a/crates/consensus/src/machine.rs
+++ b/crates/consensus/src/machine.rs
@@ -1,5 +1,5 @@
-//! The calls that drive the state machine: messages, time, proposals, reads and the results of writes go in, outputs come
-//! out.
+//! The calls that drive the state machine: messages, time, proposals, reads and the results of writes go in, outputs
+//! come out.
 
 use crate::entry::{Body, Entry};
 use crate::leader::PendingRead;
@@ -47,8 +47,9 @@
         self.disk.retry_at().map_or(next, |retry_at| next.min(retry_at))
     }
 
-    /// Proposes an entry and returns its index. The entry is committed when [`Outputs::committed`] has that index with the
-    /// leader's term at the time of the call; if [`Outputs::unresolved`] lists the index, its outcome is unknown.
+    /// Proposes an entry and returns its index. The entry is committed when [`Outputs::committed`] has that index
+    /// with the leader's term at the time of the call; if [`Outputs::unresolved`] lists the index, its outcome is
+    /// unknown.
     ///
     /// # Errors
     /// If this member doesn't lead, isn't [`Consensus::ready`], or too many entries wait to be committed.
@@ -72,8 +73,8 @@
         Ok(index)
     }
 
-    /// Requests a read: once [`Outputs::reads`] has the ticket as true, the state with all [`Outputs::committed`] applied
-    /// shows everything that was committed before this call.
+    /// Requests a read: once [`Outputs::reads`] has the ticket as true, the state with all [`Outputs::committed`]
+    /// applied shows everything that was committed before this call.
     ///
     /// # Errors
     /// If this member doesn't lead. Before it is [`Consensus::ready`] the read waits.
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Provides the program's own state after the entry at `index`, which it has applied, so that entries up to it may be
-    /// dropped. Ignored if a newer snapshot exists.
+    /// Provides the program's own state after the entry at `index`, which it has applied, so that entries up to it
+    /// may be dropped. Ignored if a newer snapshot exists.
     pub fn snapshot(&mut self, now: u64, index: u64, state: String) {
         self.advance_clock(now);
         if index <= self.delivered {
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Adds hosts (IP addresses, as in [`Member::host`]) where members may be: used while this machine isn't a member, or
-    /// has had no contact with a leader for a long time.
+    /// Adds hosts (IP addresses, as in [`Member::host`]) where members may be: used while this machine isn't a
+    /// member, or has had no contact with a leader for a long time.
     pub fn add_seed_hosts(&mut self, hosts: &[String]) {
         for host in hosts {
             self.remember_host(host);
@@ -146,8 +147,8 @@
         self.next_join_at = self.now;
     }
 
-    /// For a program that is about to stop: if a standby exists, it replaces this member. The program keeps running until
-    /// [`Consensus::may_stop`], or until it has waited long enough, and then calls [`Consensus::resign`].
+    /// For a program that is about to stop: if a standby exists, it replaces this member. The program keeps running
+    /// until [`Consensus::may_stop`], or until it has waited long enough, and then calls [`Consensus::resign`].
     pub fn leave(&mut self, now: u64) {
         self.advance_clock(now);
         self.leaving = true;
@@ -180,17 +181,17 @@
         }
     }
 
-    /// Time, ms, since the start of the newest heartbeat round that a majority, this member included, has answered: at that
-    /// start nobody else led in a later term with their votes. None if this member doesn't lead, or before the first
-    /// answers.
+    /// Time, ms, since the start of the newest heartbeat round that a majority, this member included, has answered:
+    /// at that start nobody else led in a later term with their votes. None if this member doesn't lead, or before
+    /// the first answers.
     pub fn quorum_age(&self, now: u64) -> Option<u64> {
         self.quorum_contact_at(now.max(self.now)).map(|contact_at| now.saturating_sub(contact_at))
     }
 
     /// The work to do now. To be called after every call that takes `now`; the crate's documentation gives the order.
     pub fn take_outputs(&mut self) -> Outputs {
-        // Replies that waited for the disk come first: a vote may make this member the leader, whose first entry has to be
-        // written.
+        // Replies that waited for the disk come first: a vote may make this member the leader, whose first entry has
+        // to be written.
         self.send_pending_replies();
         if let Some(write) = self.disk.next_write(self.now, &self.me, self.hard, &self.log) {
             self.outputs.writes.push(write);
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/members.rs
@@ -1,4 +1,5 @@
-//! Members: their numbers, their minimum and maximum count, operators' exclusions, and their status as a leader sees it.
+//! Members: their numbers, their minimum and maximum count, operators' exclusions, and their status as a leader sees
+//! it.
 
 use nickeljunction_messages::{Member, MemberId};
 use serde::{Deserialize, Serialize};
@@ -8,7 +9,8 @@
 /// Smallest number of members that a removal may leave.
 pub const MEMBERS_MIN: usize = 3;
 
-/// Member numbers have 40 bits: short on the wire, and wide enough that no two drawn in the lifetime of a core are equal.
+/// Member numbers have 40 bits: short on the wire, and wide enough that no two drawn in the lifetime of a core are
+/// equal.
 const ID_MASK: u64 = (1 << 40) - 1;
 
 /// Number of the member on `host` at the first start of the whole core: the same on every machine, never 0.
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -12,7 +12,8 @@
 const LEARNER_TIMEOUTS: u64 = 4;
 /// A learner that lacks no more entries than this has caught up.
 const CAUGHT_UP_ENTRIES: u64 = 64;
-/// Removal timeout that is too long, ms: replaces [`crate::Tuning::removal_timeout_ms`] in tests that disable its guard.
+/// Removal timeout that is too long, ms: replaces [`crate::Tuning::removal_timeout_ms`] in tests that disable its
+/// guard.
 #[cfg(feature = "model")]
 const SLOW_REMOVAL_MS: u64 = 6_000;
 
@@ -23,9 +24,9 @@
         self.requested_host = host;
     }
 
-    /// Replaces the list of hosts that operators exclude: a member there is removed once `after` is a member and a majority
-    /// of the remaining members answers; a machine there that asks to join is ignored. The list must come from the log, so
-    /// that it is the same at every member; the leader carries it out.
+    /// Replaces the list of hosts that operators exclude: a member there is removed once `after` is a member and a
+    /// majority of the remaining members answers; a machine there that asks to join is ignored. The list must come
+    /// from the log, so that it is the same at every member; the leader carries it out.
     pub fn set_exclusions(&mut self, exclusions: Vec<Exclusion>) {
         self.exclusions = exclusions;
     }
@@ -63,8 +64,8 @@
         })
     }
 
-    /// Forgets that a member announced its stop if it sends a request, or still answers after the removal timeout: it goes
-    /// on running after all.
+    /// Forgets that a member announced its stop if it sends a request, or still answers after the removal timeout: it
+    /// goes on running after all.
     pub(crate) fn update_departing(&mut self, from: MemberId, msg: &Msg) {
         let (now, removal_timeout_ms) = (self.now, self.tuning.removal_timeout_ms);
         let is_reply =
@@ -85,8 +86,8 @@
                         && !exclusions.iter().any(|exclusion| exclusion.host == peer.member.host))
             });
         }
-        // One change at a time, and none before an entry of this term is committed and delivered to the program: it may be
-        // the one by which operators exclude a host.
+        // One change at a time, and none before an entry of this term is committed and delivered to the program: it
+        // may be the one by which operators exclude a host.
         let own_term_delivered = match &self.role {
             Role::Leader(leader_state) => self.delivered >= leader_state.first_index,
             _ => false,
@@ -134,8 +135,8 @@
         self.advance_commit();
     }
 
-    /// The next membership change, if one is due. The order is: the end of a replacement, additions, removals of excluded
-    /// members, removals of members that are gone.
+    /// The next membership change, if one is due. The order is: the end of a replacement, additions, removals of
+    /// excluded members, removals of members that are gone.
     fn next_change(&self) -> Option<Body> {
         if self.log.is_joint() {
             // The joint entry is committed by both lists: from here on the new list is in force alone.
@@ -179,8 +180,8 @@
         if members.len() >= guard!(StandbyLimit, limit.min(MEMBERS_MAX), MEMBERS_MAX) {
             return None;
         }
-        // While a member is missing, an addition must not raise the size of a majority: the loss of the new member right
-        // after would leave no majority.
+        // While a member is missing, an addition must not raise the size of a majority: the loss of the new member
+        // right after would leave no majority.
         let next: Vec<Member> = members.iter().chain([member]).cloned().collect();
         let raises_majority = next.len() / 2 > members.len() / 2;
         let all_answer = || !members.iter().any(|member| self.is_silent(member, self.tuning.election_min_ms));
@@ -188,9 +189,9 @@
         (allowed && self.majority_reachable(&next)).then_some(Body::Members(next))
     }
 
-    /// Replaces one member by another in one step, by majorities of both lists. Two steps would put a list with one member
-    /// less or more in force between them, and then the loss of as many disks as the core has to survive may leave no
-    /// majority, although the member that was considered gone comes back with its disk.
+    /// Replaces one member by another in one step, by majorities of both lists. Two steps would put a list with one
+    /// member less or more in force between them, and then the loss of as many disks as the core has to survive may
+    /// leave no majority, although the member that was considered gone comes back with its disk.
     fn replacement(&self, old: &Member, new: &Member) -> Option<Body> {
         let before = self.log.members().to_vec();
         let after: Vec<Member> =
@@ -232,8 +233,8 @@
         self.promotable_learners().any(|learner| !self.has_member_at(&learner.host))
     }
 
-    /// This member may stop without being replaced: there is no standby, no change is due, and the remaining members can
-    /// decide.
+    /// This member may stop without being replaced: there is no standby, no change is due, and the remaining members
+    /// can decide.
     pub(crate) fn may_stop_as_member(&self, member: &Member) -> bool {
         let members = self.log.members();
         let at_minimum = members.len() <= self.tuning.min_members.max(MEMBERS_MIN);
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -126,16 +126,16 @@
     /// Asks to be made a member. Goes to any member at a host.
     #[serde(rename = "j")]
     Join,
-    /// Says that the sender doesn't lead and names the leader that it knows of. Goes to a machine that asked to join or is
-    /// no longer a member.
+    /// Says that the sender doesn't lead and names the leader that it knows of. Goes to a machine that asked to join
+    /// or is no longer a member.
     #[serde(rename = "l")]
     Redirect {
         /// The leader.
         #[serde(rename = "l")]
         leader: Member,
     },
-    /// From a leader: it no longer leads, and the receiver need not wait for it. From another member: it is about to stop.
-    /// From a leader to a member that is about to stop: it may do so.
+    /// From a leader: it no longer leads, and the receiver need not wait for it. From another member: it is about to
+    /// stop. From a leader to a member that is about to stop: it may do so.
     #[serde(rename = "z")]
     Resign,
 }
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -1,5 +1,5 @@
-//! For the model of the tests alone (feature `model`): a [`Consensus`] that can be copied, compared and set back in time,
-//! and guards that can be disabled one at a time.
+//! For the model of the tests alone (feature `model`): a [`Consensus`] that can be copied, compared and set back in
+//! time, and guards that can be disabled one at a time.
 
 use crate::entry::Entry;
 pub use crate::guards::{disable_guards, Guard};
@@ -7,8 +7,8 @@
 use std::hash::{Hash, Hasher};
 
 impl Consensus {
-    /// Sets the clock to `now` and shifts all remembered times with it; a time before 0 becomes 0. The random generator is
-    /// seeded again, and the election deadline is due.
+    /// Sets the clock to `now` and shifts all remembered times with it; a time before 0 becomes 0. The random
+    /// generator is seeded again, and the election deadline is due.
     pub fn set_clock(&mut self, now: u64) {
         let previous = self.now;
         let shift = |time: u64| (time + now).saturating_sub(previous);
--- a/crates/consensus/src/peer.rs
+++ b/crates/consensus/src/peer.rs
@@ -190,11 +190,12 @@
         self.next_index = self.next_index.max(self.match_index + 1);
     }
 
-    /// In `round` the peer rejected an append: its log doesn't have the entry `prev_index`; the logs may agree at `hint`.
+    /// In `round` the peer rejected an append: its log doesn't have the entry `prev_index`; the logs may agree at
+    /// `hint`.
     pub(crate) fn on_rejected(&mut self, prev_index: u64, hint: u64, round: u64) {
         if prev_index <= self.match_index && round > self.accepted_round {
-            // The peer had acknowledged this very entry before: its disk has lost it. From now on the peer counts for what
-            // it still has, and the rest is sent again.
+            // The peer had acknowledged this very entry before: its disk has lost it. From now on the peer counts for
+            // what it still has, and the rest is sent again.
             self.match_index = hint.min(prev_index - 1);
         }
         let stale = prev_index <= self.match_index
--- a/crates/consensus/src/persistent.rs
+++ b/crates/consensus/src/persistent.rs
@@ -52,8 +52,8 @@
 }
 
 impl Restored {
-    /// A member at the first start of the whole core, on an empty disk; every machine passes the same `members`, each with
-    /// the number that [`crate::bootstrap_member_id`] gives.
+    /// A member at the first start of the whole core, on an empty disk; every machine passes the same `members`, each
+    /// with the number that [`crate::bootstrap_member_id`] gives.
     pub fn bootstrap(me: Member, members: Vec<Member>) -> Restored {
         let snapshot = Snapshot { index: 0, term: 0, members, state: String::new() };
         Restored {
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -43,9 +43,10 @@
     },
 }
 
-/// Lease that a restarted member has to honour. It may have answered a leader just before the restart, and that leader's
-/// lease relies on it for `election_min_ms`. So it votes for nobody for that time, or until every other member has said
-/// that it neither leads nor follows: then that leader has stepped down, and won't lead in the same term again.
+/// Lease that a restarted member has to honour. It may have answered a leader just before the restart, and that
+/// leader's lease relies on it for `election_min_ms`. So it votes for nobody for that time, or until every other
+/// member has said that it neither leads nor follows: then that leader has stepped down, and won't lead in the same
+/// term again.
 #[derive(Debug, Default)]
 #[cfg_attr(feature = "model", derive(Clone, Hash))]
 pub(crate) struct RestartLease {
@@ -112,8 +113,8 @@
 }
 
 impl Consensus {
-    /// Starts from the content of the disk. `seed` is for the random part of election times and must differ between machines;
-    /// `now` is the time of a monotonic clock, ms, as in all calls.
+    /// Starts from the content of the disk. `seed` is for the random part of election times and must differ between
+    /// machines; `now` is the time of a monotonic clock, ms, as in all calls.
     pub fn new(restored: Restored, tuning: Tuning, seed: u64, now: u64) -> Consensus {
         let log = Log::new(restored.snapshot, restored.entries);
         let disk = Disk::new(restored.is_new, restored.hard, &log);
@@ -204,8 +205,9 @@
         self.commit
     }
 
-    /// This member leads, the entry at `index` is committed, and every member that answered within the shortest election
-    /// time has it on its disk. That is more than a majority needs, so the entry may survive even the loss of a majority.
+    /// This member leads, the entry at `index` is committed, and every member that answered within the shortest
+    /// election time has it on its disk. That is more than a majority needs, so the entry may survive even the loss
+    /// of a majority.
     pub fn replicated_to_all_reachable(&self, now: u64, index: u64) -> bool {
         let Role::Leader(leader_state) = &self.role else { return false };
         let since = now.saturating_sub(self.tuning.election_min_ms);
--- a/crates/consensus/src/tuning.rs
+++ b/crates/consensus/src/tuning.rs
@@ -7,16 +7,16 @@
 pub struct Tuning {
     /// Interval between a leader's heartbeats.
     pub heartbeat_ms: u64,
-    /// A member that has had no contact with a leader for a time between this and `election_max_ms` stands for election;
-    /// one that had contact with a leader within this time votes for nobody.
+    /// A member that has had no contact with a leader for a time between this and `election_max_ms` stands for
+    /// election; one that had contact with a leader within this time votes for nobody.
     pub election_min_ms: u64,
     /// See `election_min_ms`; a leader that got no answer from a majority for this time steps down.
     pub election_max_ms: u64,
-    /// Silence alone removes a member only while more members than this are left: a smaller list would keep acknowledged
-    /// entries on fewer disks.
+    /// Silence alone removes a member only while more members than this are left: a smaller list would keep
+    /// acknowledged entries on fewer disks.
     pub min_members: usize,
-    /// Machines that ask to join become members up to this count; further ones stand by as learners until a member is gone
-    /// or operators request one.
+    /// Machines that ask to join become members up to this count; further ones stand by as learners until a member is
+    /// gone or operators request one.
     pub max_members: usize,
     /// A member that was silent for this time counts as gone and makes room for a standby. Shorter than the time after
     /// which the core must survive the next loss.
--- a/crates/consensus/tests/cases.rs
+++ b/crates/consensus/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Named cases of what the core has to bear, each over some seeds.
+//! Single faults that the core has to survive, each over several seeds.
 
 mod cluster;
 
@@ -8,8 +8,8 @@
 
 const SEEDS: u64 = 20;
 
-/// Plays a case over some seeds, of `members` machines that have a leader.
-fn each(members: usize, case: impl Fn(&mut Cluster, usize)) {
+/// Runs a case over several seeds, on a cluster of `members` machines that have a leader.
+fn for_each_seed(members: usize, case: impl Fn(&mut Cluster, usize)) {
     for seed in 0..SEEDS {
         println!("seed {seed}");
         let mut cluster = Cluster::new(members, seed);
@@ -23,20 +23,20 @@
     (0..cluster.machines.len()).filter(|other| *other != number).collect()
 }
 
-/// With the next heartbeat all know what is committed.
-fn check_all(cluster: &mut Cluster) {
+/// Asserts that all running machines have the acknowledged values, once a heartbeat has spread the commit index.
+fn assert_all_have_acknowledged(cluster: &mut Cluster) {
     cluster.run(200);
     for number in 0..cluster.machines.len() {
         if cluster.machines[number].node.is_some() {
-            cluster.assert_has_acked(number);
+            cluster.assert_has_acknowledged(number);
         }
     }
 }
 
 #[test]
-fn a_leader_that_was_frozen_tells_nothing_of_the_past() {
-    each(3, |cluster, old| {
-        // Its last proposal and read are under way when it freezes.
+fn a_suspended_leader_returns_no_stale_state() {
+    for_each_seed(3, |cluster, old| {
+        // Its last proposal and read are in flight when it is suspended.
         cluster.propose(old);
         cluster.read(old);
         cluster.machines[old].suspended = true;
@@ -45,19 +45,19 @@
         assert_ne!(old, new);
         cluster.commit(500);
         cluster.resume(old);
-        // Whatever it says now is checked against what its successor acknowledged.
+        // The cluster checks all its outputs against the entries that its successor acknowledged.
         cluster.propose(old);
         cluster.read(old);
         cluster.run(1_000);
         assert!(!cluster.node(old).is_leader());
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn a_leader_cut_one_way_is_succeeded() {
+fn a_leader_isolated_in_one_direction_is_replaced() {
     for outward in [true, false] {
-        each(3, |cluster, old| {
+        for_each_seed(3, |cluster, old| {
             cluster.isolate(old, outward, !outward);
             cluster.propose(old);
             cluster.run(2_500);
@@ -68,16 +68,16 @@
             cluster.blocked_links.clear();
             let term = cluster.node(new).term();
             cluster.run(1_500);
-            assert_eq!(cluster.wait_for_leader(500), new, "the return disturbs nobody");
+            assert_eq!(cluster.wait_for_leader(500), new, "the returning member changes no leader");
             assert_eq!(cluster.node(new).term(), term);
-            check_all(cluster);
+            assert_all_have_acknowledged(cluster);
         });
     }
 }
 
 #[test]
-fn what_was_acknowledged_survives_a_loss_of_power_right_after() {
-    each(3, |cluster, leader| {
+fn acknowledged_entries_survive_an_immediate_power_loss() {
+    for_each_seed(3, |cluster, leader| {
         cluster.commit(500);
         let ms = cluster.rng.u64(0..4);
         cluster.run(ms);
@@ -86,13 +86,13 @@
         cluster.commit(500);
         cluster.start(leader);
         cluster.run(1_000);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn what_was_acknowledged_survives_its_acknowledgers_disk_while_another_lags() {
-    each(3, |cluster, leader| {
+fn acknowledged_entries_survive_a_disk_loss_while_a_member_lags() {
+    for_each_seed(3, |cluster, leader| {
         let lagging = others(cluster, leader)[0];
         cluster.isolate(lagging, true, true);
         cluster.commit(500);
@@ -102,13 +102,13 @@
         cluster.commit(3_000);
         cluster.wait_until_all_are_members(3_000);
         cluster.run(500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn a_wiped_member_does_not_help_to_elect() {
-    each(3, |cluster, leader| {
+fn a_wiped_member_does_not_vote() {
+    for_each_seed(3, |cluster, leader| {
         let [lagging, wiped] = others(cluster, leader)[..] else { unreachable!() };
         cluster.isolate(lagging, true, true);
         cluster.commit(500);
@@ -118,20 +118,20 @@
         cluster.blocked_links.clear();
         cluster.run(5_000);
         assert!(!cluster.node(lagging).is_leader() && !cluster.node(wiped).is_leader());
-        // The one that has it comes back.
+        // The member that has the acknowledged entry comes back.
         cluster.start(leader);
         cluster.wait_until_all_are_members(4_000);
         cluster.run(500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn all_killed_at_once_are_back_in_a_moment() {
-    each(3, |cluster, _| {
+fn a_restarted_core_commits_without_waiting_for_leases() {
+    for_each_seed(3, |cluster, _| {
         (0..3).for_each(|number| cluster.kill(number));
         cluster.run(200);
-        // One after the other, as machines come up; nobody has to wait out what nobody holds any more.
+        // Machines start one after the other; none has to wait for a lease that no leader holds any more.
         for number in 0..3 {
             let ms = cluster.rng.u64(0..300);
             cluster.run(ms);
@@ -139,27 +139,27 @@
         }
         cluster.commit(150);
         cluster.run(500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn one_that_comes_back_keeps_an_earlier_lifes_word_to_a_leader_it_cant_reach() {
-    each(3, |cluster, leader| {
-        let [cut, restarts] = others(cluster, leader)[..] else { unreachable!() };
-        cluster.set_link_blocked(leader, cut, true);
-        cluster.set_link_blocked(cut, leader, true);
+fn a_restarted_member_honours_the_lease_of_an_unreachable_leader() {
+    for_each_seed(3, |cluster, leader| {
+        let [follower, restarted] = others(cluster, leader)[..] else { unreachable!() };
+        cluster.set_link_blocked(leader, follower, true);
+        cluster.set_link_blocked(follower, leader, true);
         cluster.run(700);
-        cluster.kill(restarts);
+        cluster.kill(restarted);
         cluster.isolate(leader, true, true);
-        cluster.start(restarts);
-        // The leader may still go by that word, by its own clock.
+        cluster.start(restarted);
+        // By its own clock the leader may still rely on the lease.
         while cluster
             .node(leader)
             .quorum_age(cluster.now)
             .is_some_and(|age| age < cluster.tuning.election_min_ms)
         {
-            assert!(!cluster.node(cut).is_leader() && !cluster.node(restarts).is_leader());
+            assert!(!cluster.node(follower).is_leader() && !cluster.node(restarted).is_leader());
             cluster.run(1);
         }
         cluster.run(1_500);
@@ -169,8 +169,8 @@
 }
 
 #[test]
-fn all_without_power_and_one_disk_gone() {
-    each(3, |cluster, leader| {
+fn the_core_survives_a_total_power_loss_and_a_disk_loss() {
+    for_each_seed(3, |cluster, leader| {
         (0..3).for_each(|number| cluster.lose_power(number));
         cluster.wipe(leader);
         cluster.run(1_000);
@@ -178,19 +178,19 @@
         cluster.commit(3_000);
         cluster.wait_until_all_are_members(3_000);
         cluster.run(500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn two_more_join_three_seeds_and_silent_ones_go() {
-    each(3, |cluster, _| {
+fn two_machines_join_and_silent_members_are_removed() {
+    for_each_seed(3, |cluster, _| {
         for _ in 0..2 {
-            let number = cluster.add();
+            let number = cluster.add_machine();
             cluster.start(number);
         }
         cluster.wait_until_all_are_members(2_000);
-        // Two go for good, one after the other: the others remain able to decide, down to three.
+        // Two members are lost for good, one after the other: the others can still decide, down to three.
         for _ in 0..2 {
             let gone = cluster.wait_for_leader(3_000);
             cluster.kill(gone);
@@ -198,15 +198,15 @@
         }
         cluster.wait_until_all_are_members(1_000);
         cluster.commit(500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn one_alone_leads_and_takes_others_in() {
-    each(1, |cluster, _| {
+fn a_single_member_leads_and_adds_others() {
+    for_each_seed(1, |cluster, _| {
         for _ in 0..2 {
-            let number = cluster.add();
+            let number = cluster.add_machine();
             cluster.start(number);
             cluster.wait_until_all_are_members(2_000);
         }
@@ -214,15 +214,15 @@
         cluster.start(1);
         cluster.wait_until_all_are_members(3_000);
         cluster.commit(500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn seeds_are_replaced_by_other_machines() {
-    each(3, |cluster, _| {
+fn all_seeds_are_replaced_by_other_machines() {
+    for_each_seed(3, |cluster, _| {
         for old in 0..3 {
-            let new = cluster.add();
+            let new = cluster.add_machine();
             cluster.start(new);
             cluster.wait_until_all_are_members(2_000);
             cluster.kill(old);
@@ -231,24 +231,24 @@
             cluster.wait_until_all_are_members(1_000);
         }
         cluster.commit(500);
-        check_all(cluster);
-        // One that was away all the time finds the others by the new seeds.
+        assert_all_have_acknowledged(cluster);
+        // A machine that was down all the time finds the others by the new seeds.
         cluster.start(0);
         cluster.wait_until_all_are_members(8_000);
         cluster.run(500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn a_leader_whose_disk_is_full_makes_way_and_comes_back() {
-    each(3, |cluster, full| {
+fn a_leader_with_a_full_disk_steps_down_and_recovers() {
+    for_each_seed(3, |cluster, full| {
         cluster.machines[full].disk.fail(true);
         cluster.propose(full);
         cluster.run(800);
         assert!(cluster.node(full).disk_failed() && !cluster.node(full).is_leader());
         cluster.commit(1_000);
-        // While it can't keep anything it vouches for nothing: with it alone nothing is committed.
+        // While its disk fails it acknowledges nothing: a leader with this follower alone commits nothing.
         let new = cluster.wait_for_leader(500);
         let third = others(cluster, full).into_iter().find(|number| *number != new).unwrap();
         cluster.kill(third);
@@ -260,13 +260,13 @@
         assert!(!cluster.node(full).disk_failed());
         cluster.start(third);
         cluster.run(1_500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
     });
 }
 
 #[test]
-fn a_laggard_gets_a_snapshot() {
-    each(3, |cluster, leader| {
+fn a_lagging_member_gets_a_snapshot() {
+    for_each_seed(3, |cluster, leader| {
         let lagging = others(cluster, leader)[0];
         cluster.kill(lagging);
         for _ in 0..200 {
@@ -275,16 +275,16 @@
         assert!(cluster.node(leader).commit() > 200);
         cluster.start(lagging);
         cluster.run(1_500);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
         assert!(cluster.node(leader).replicated_to_all_reachable(cluster.now, cluster.node(leader).commit()));
     });
 }
 
-/// A whole window of appends is lost within an election time, so that nobody takes the member for silent, and the leader
-/// forgets the entries in them before it learns of it.
+/// All appends in flight are lost within an election time, so that the member doesn't count as silent, and the leader
+/// compacts their entries before it notices the loss.
 #[test]
-fn a_member_is_taught_by_a_snapshot_where_a_lost_window_is_forgotten() {
-    each(3, |cluster, leader| {
+fn a_member_gets_a_snapshot_if_lost_appends_were_compacted() {
+    for_each_seed(3, |cluster, leader| {
         cluster.commit(500);
         cluster.run(200);
         let lagging = others(cluster, leader)[0];
@@ -295,21 +295,21 @@
         }
         cluster.set_link_blocked(leader, lagging, false);
         cluster.run(5_000);
-        check_all(cluster);
+        assert_all_have_acknowledged(cluster);
         assert!(cluster.node(leader).replicated_to_all_reachable(cluster.now, cluster.node(leader).commit()));
     });
 }
 
 #[test]
-fn quiet_members_say_little_and_commits_take_one_round_trip() {
-    each(3, |cluster, leader| {
+fn idle_members_send_few_messages_and_commits_take_one_round_trip() {
+    for_each_seed(3, |cluster, leader| {
         cluster.run(500);
-        let before = cluster.messages;
+        let messages_before = cluster.messages;
         cluster.run(10_000);
-        let told = cluster.messages - before;
-        assert!(told <= 404, "{told} messages in 10 s");
+        let sent = cluster.messages - messages_before;
+        assert!(sent <= 404, "{sent} messages in 10 s");
         assert!(cluster.node(leader).quorum_age(cluster.now).unwrap() <= 110);
-        // There 1 or 2 ms, a write of 1 to 3 ms, and back.
+        // A message takes 1 or 2 ms each way, a write 1 to 3 ms.
         let value = cluster.propose(leader).unwrap();
         cluster.read(leader);
         cluster.run(7);
@@ -319,8 +319,8 @@
 }
 
 #[test]
-fn a_leader_that_resigns_is_succeeded_at_once() {
-    each(3, |cluster, old| {
+fn a_leader_that_resigns_is_replaced_at_once() {
+    for_each_seed(3, |cluster, old| {
         let now = cluster.now;
         cluster.machines[old].node.as_mut().unwrap().resign(now);
         cluster.propose(old);
@@ -333,31 +333,31 @@
 }
 
 #[test]
-fn a_member_whose_disk_forgot_is_taught_again() {
-    each(3, |cluster, leader| {
-        let forgetful = others(cluster, leader)[0];
+fn a_member_whose_disk_lost_entries_gets_them_again() {
+    for_each_seed(3, |cluster, leader| {
+        let lossy = others(cluster, leader)[0];
         cluster.run(300);
-        // Its disk as it is now is what is left of it after more was acknowledged.
-        let early = cluster.machines[forgetful].disk.load().unwrap().unwrap();
+        // After more entries were acknowledged, the disk falls back to its present content.
+        let old_content = cluster.machines[lossy].disk.load().unwrap().unwrap();
         for _ in 0..5 {
             cluster.commit(500);
         }
         cluster.run(300);
-        cluster.kill(forgetful);
-        cluster.machines[forgetful].disk.wipe();
+        cluster.kill(lossy);
+        cluster.machines[lossy].disk.wipe();
         let write = Write {
             ticket: 1,
-            me: Some(early.me),
-            hard: Some(early.hard),
-            snapshot: early.snapshot,
-            entries: early.entries,
+            me: Some(old_content.me),
+            hard: Some(old_content.hard),
+            snapshot: old_content.snapshot,
+            entries: old_content.entries,
             ..Write::default()
         };
-        cluster.machines[forgetful].disk.save(&write).unwrap();
-        cluster.start(forgetful);
+        cluster.machines[lossy].disk.save(&write).unwrap();
+        cluster.start(lossy);
         cluster.run(1_000);
         let commit = |number: usize| cluster.machines[number].node.as_ref().unwrap().commit();
-        assert_eq!(commit(forgetful), commit(leader));
-        check_all(cluster);
+        assert_eq!(commit(lossy), commit(leader));
+        assert_all_have_acknowledged(cluster);
     });
 }
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A cluster of members on a clock of its own: a network that loses, doubles, delays and is cut, disks that lose what
-//! wasn't synced, and checks on everything that comes out.
+//! A simulated cluster on its own clock: a network that loses, duplicates, delays and blocks messages, disks that lose
+//! unsynced writes, and checks on all outputs.
 
-#![allow(dead_code)] // Each test program uses a part of it.
+#![allow(dead_code)] // Each test program uses only a part of this module.
 
 use nickeljunction_consensus::{
     bootstrap_member_id, member_id_from_random, Body, Consensus, Envelope, Exclusion, Member, MemberId,
@@ -10,10 +10,10 @@
 use nickeljunction_storage::{LogStore, MemoryLogStore};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Begins a value that says who is to stay away.
+/// Starts a proposed value that sets the exclusions.
 const EXCLUSIONS_PREFIX: &str = "away ";
 
-/// What happens to a machine at a time.
+/// A scheduled event at a machine.
 enum Event {
     Deliver(Envelope),
     Written { incarnation: u64 },
@@ -24,7 +24,7 @@
     pub host: String,
     pub disk: MemoryLogStore,
     pub node: Option<Consensus>,
-    /// What its state machine holds: values by index.
+    /// The replicated state: values by index.
     pub state: Vec<(u64, String)>,
     pub applied: u64,
     pub suspended: bool,
@@ -34,11 +34,11 @@
     writing: bool,
     write_failed: bool,
     proposals: HashMap<u64, String>,
-    /// Reads that wait, with what had been acknowledged before them.
+    /// Open reads, with the values that had been acknowledged before each.
     reads: HashMap<ReadTicket, Vec<String>>,
 }
 
-/// All machines and what is between them.
+/// All machines and the network between them.
 pub struct Cluster {
     pub now: u64,
     pub rng: fastrand::Rng,
@@ -46,25 +46,25 @@
     pub seeds: Vec<String>,
     pub tuning: Tuning,
     queue: BTreeMap<(u64, u64), (usize, Event)>,
-    sent: u64,
-    /// From whom to whom nothing gets through.
+    scheduled: u64,
+    /// Sender and receiver of links that pass no messages.
     pub blocked_links: HashSet<(usize, usize)>,
-    /// Percent of messages lost, doubled, and delayed by far.
+    /// Percentages of messages that are lost, duplicated, and delayed by up to 1.5 s.
     pub loss_percent: u8,
     pub duplicate_percent: u8,
     pub delay_percent: u8,
-    /// Longest way of a message and longest write, ms.
+    /// Longest regular latency of a message and longest write, ms.
     pub max_latency_ms: u64,
     pub max_sync_ms: u64,
-    /// What came out anywhere, by index.
+    /// Committed entries by index: term and data.
     committed: BTreeMap<u64, (u64, Option<String>)>,
-    /// The lists of members among it.
+    /// Committed member lists by index.
     member_lists: BTreeMap<u64, Vec<Member>>,
     leaders: HashMap<u64, MemberId>,
     pub acknowledged: Vec<String>,
     pub reads_done: usize,
     pub messages: u64,
-    /// Messages are written out as JSON and read again.
+    /// Messages are encoded as JSON and decoded again.
     pub encode_messages: bool,
     next_value: u64,
 }
@@ -74,13 +74,13 @@
 }
 
 impl Cluster {
-    /// `members` machines at the first start, all of them seeds of each other.
+    /// `members` machines at the first start, each of them a seed of the others.
     pub fn new(members: usize, seed: u64) -> Cluster {
-        Cluster::tuned(members, seed, Tuning::default())
+        Cluster::with_tuning(members, seed, Tuning::default())
     }
 
-    /// The same, with other times.
-    pub fn tuned(members: usize, seed: u64, tuning: Tuning) -> Cluster {
+    /// Like `new`, with other settings.
+    pub fn with_tuning(members: usize, seed: u64, tuning: Tuning) -> Cluster {
         let hosts: Vec<String> = (0..members).map(host).collect();
         let mut cluster = Cluster {
             now: 1_000,
@@ -89,7 +89,7 @@
             seeds: hosts.clone(),
             tuning,
             queue: BTreeMap::new(),
-            sent: 0,
+            scheduled: 0,
             blocked_links: HashSet::new(),
             loss_percent: 0,
             duplicate_percent: 0,
@@ -108,14 +108,14 @@
         let list: Vec<Member> =
             hosts.iter().map(|host| Member { id: bootstrap_member_id(host), host: host.clone() }).collect();
         for member in &list {
-            let number = cluster.add();
+            let number = cluster.add_machine();
             cluster.boot(number, Restored::bootstrap(member.clone(), list.clone()));
         }
         cluster
     }
 
-    /// A machine that isn't started yet.
-    pub fn add(&mut self) -> usize {
+    /// Adds a machine without starting it.
+    pub fn add_machine(&mut self) -> usize {
         self.machines.push(Machine {
             host: host(self.machines.len()),
             disk: MemoryLogStore::new(),
@@ -159,7 +159,7 @@
         self.boot(number, restored);
     }
 
-    /// Ends a process; the disk keeps what was written, synced or not.
+    /// Kills a process; the disk keeps all writes, synced or not.
     pub fn kill(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         machine.node = None;
@@ -172,13 +172,13 @@
         machine.disk.sync();
     }
 
-    /// Ends a process and takes what its disk hadn't synced, or some of it.
+    /// Cuts the power of a machine; of the unsynced writes none or only the first survives.
     pub fn lose_power(&mut self, number: usize) {
         let survive = self.rng.usize(0..2);
         self.lose_power_keeping(number, survive);
     }
 
-    /// The same; of what wasn't synced the first writes survive.
+    /// Cuts the power of a machine; of the unsynced writes the first `survive` ones survive.
     pub fn lose_power_keeping(&mut self, number: usize, survive: usize) {
         self.machines[number].disk.lose_power(survive);
         self.kill(number);
@@ -189,16 +189,16 @@
         self.machines[number].disk.wipe();
     }
 
-    /// Cuts or joins two machines, one way.
-    pub fn set_link_blocked(&mut self, from: usize, to: usize, cut: bool) {
-        if cut {
+    /// Blocks or unblocks the link between two machines, in one direction.
+    pub fn set_link_blocked(&mut self, from: usize, to: usize, blocked: bool) {
+        if blocked {
             self.blocked_links.insert((from, to));
         } else {
             self.blocked_links.remove(&(from, to));
         }
     }
 
-    /// Cuts or joins a machine and all others, one way.
+    /// Blocks the links between a machine and all others, in the given directions.
     pub fn isolate(&mut self, number: usize, outward: bool, inward: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != number) {
             if outward {
@@ -218,7 +218,7 @@
         if machine.node.is_none() {
             return;
         }
-        // Whether the clock or the mail comes first isn't known.
+        // A resumed process may look at the clock or at its messages first.
         if self.rng.bool() {
             if let Some(node) = &mut self.machines[number].node {
                 node.tick(now);
@@ -244,7 +244,7 @@
         self.propose_value(number, value)
     }
 
-    /// The same, with a value of at least so many bytes.
+    /// Proposes a new value of at least this size.
     pub fn propose_long(&mut self, number: usize, bytes: usize) -> Option<String> {
         let value = format!("v{}-{}", self.next_value, "x".repeat(bytes));
         self.propose_value(number, value)
@@ -274,39 +274,42 @@
         self.process_outputs(number);
     }
 
-    /// Does what a machine's consensus asks for, and checks it.
+    /// Processes the outputs of a machine's consensus and checks them.
     fn process_outputs(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         let Some(node) = &mut machine.node else { return };
         let out = node.take_outputs();
         if node.is_leader() {
-            let before = self.leaders.insert(node.term(), node.me().id);
-            assert!(before.is_none_or(|id| id == node.me().id), "two leaders in term {}", node.term());
+            let previous = self.leaders.insert(node.term(), node.me().id);
+            assert!(previous.is_none_or(|id| id == node.me().id), "two leaders in term {}", node.term());
         }
-        let news = out.restored_state.is_some() || !out.committed.is_empty();
+        let state_changed = out.restored_state.is_some() || !out.committed.is_empty();
         if let Some(snapshot) = out.restored_state {
             assert!(snapshot.index >= machine.applied, "the state goes back");
             machine.applied = snapshot.index;
             machine.state = serde_json::from_str(&snapshot.state).unwrap();
         }
         for entry in out.committed {
-            assert_eq!(entry.index, machine.applied + 1, "a gap in what was committed");
+            assert_eq!(entry.index, machine.applied + 1, "a gap in the committed entries");
             machine.applied = entry.index;
-            let told = (entry.term, entry.data().map(str::to_owned));
-            let first = self.committed.entry(entry.index).or_insert_with(|| told.clone());
-            assert_eq!(*first, told, "index {} differs on {}", entry.index, machine.host);
+            let content = (entry.term, entry.data().map(str::to_owned));
+            let first = self.committed.entry(entry.index).or_insert_with(|| content.clone());
+            assert_eq!(*first, content, "index {} differs on {}", entry.index, machine.host);
             if let Body::Members(members) = &entry.body {
                 self.member_lists.insert(entry.index, members.clone());
             }
             if let Body::Data(value) = entry.body {
-                if machine.proposals.remove(&entry.index).is_some_and(|mine| mine == value) {
+                if machine.proposals.remove(&entry.index).is_some_and(|proposed| proposed == value) {
                     self.acknowledged.push(value.clone());
                 }
                 machine.state.push((entry.index, value));
             }
         }
         for index in out.unresolved {
-            assert!(machine.proposals.remove(&index).is_some(), "a loss of what wasn't proposed");
+            assert!(
+                machine.proposals.remove(&index).is_some(),
+                "an unresolved index that wasn't proposed here"
+            );
         }
         for (ticket, ready) in out.reads {
             let acknowledged = machine.reads.remove(&ticket).unwrap();
@@ -315,17 +318,18 @@
                 let seen: HashSet<&String> = machine.state.iter().map(|(_, value)| value).collect();
                 assert!(
                     acknowledged.iter().all(|value| seen.contains(value)),
-                    "a read on {} saw the past",
+                    "a read on {} returned stale state",
                     machine.host
                 );
             }
         }
-        // The last word on the log says who is to stay away, as operators' orders do.
-        if news {
-            let word =
+        // The newest value with exclusions in the log is in force, as operators' orders are.
+        if state_changed {
+            let newest =
                 machine.state.iter().rev().find_map(|(_, value)| value.strip_prefix(EXCLUSIONS_PREFIX));
-            let away: Vec<Exclusion> = word.map_or_else(Vec::new, |word| serde_json::from_str(word).unwrap());
-            node.set_exclusions(away);
+            let exclusions: Vec<Exclusion> =
+                newest.map_or_else(Vec::new, |value| serde_json::from_str(value).unwrap());
+            node.set_exclusions(exclusions);
         }
         if machine.applied % 40 == 39 {
             let state = serde_json::to_string(&machine.state).unwrap();
@@ -340,7 +344,7 @@
 
     fn send(&mut self, from: usize, to: &str, envelope: Envelope) {
         self.messages += 1;
-        // It goes over the wire as JSON, unless time is short.
+        // Scenarios with very many runs skip the encoding to save time.
         let envelope = if self.encode_messages {
             serde_json::from_str(&serde_json::to_string(&envelope).unwrap()).unwrap()
         } else {
@@ -352,25 +356,25 @@
             if self.blocked_links.contains(&(from, to)) || self.rng.u8(..100) < self.loss_percent {
                 continue;
             }
-            let late = if self.rng.u8(..100) < self.delay_percent { self.rng.u64(..1_500) } else { 0 };
-            let at = self.now + self.rng.u64(1..=self.max_latency_ms) + late;
+            let delay = if self.rng.u8(..100) < self.delay_percent { self.rng.u64(..1_500) } else { 0 };
+            let at = self.now + self.rng.u64(1..=self.max_latency_ms) + delay;
             self.schedule(at, to, Event::Deliver(envelope.clone()));
         }
     }
 
     fn schedule(&mut self, at: u64, number: usize, event: Event) {
-        self.sent += 1;
-        self.queue.insert((at, self.sent), (number, event));
+        self.scheduled += 1;
+        self.queue.insert((at, self.scheduled), (number, event));
     }
 
-    /// Begins the next write of a machine.
+    /// Starts the next write of a machine.
     fn write(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         if machine.writing || machine.node.is_none() {
             return;
         }
         let Some(write) = machine.writes.front() else { return };
-        // What fails is told later too.
+        // A failure, too, is reported only when the write ends.
         machine.write_failed = machine.disk.write(write).is_err();
         machine.writing = true;
         let (incarnation, at) = (machine.incarnation, self.now + self.rng.u64(1..=self.max_sync_ms));
@@ -398,19 +402,22 @@
         self.process_outputs(number);
     }
 
-    /// Lets time pass.
+    /// Runs the cluster for `ms`.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.next_event(end) {}
     }
 
-    /// Lets the next thing happen, where one does before `end`; else it is `end` then, and the answer is false.
+    /// Runs the next event if there is one before `end`; otherwise moves the clock to `end` and returns false.
     pub fn next_event(&mut self, end: u64) -> bool {
-        let awake = |machine: &&Machine| !machine.suspended;
-        let wakes =
-            self.machines.iter().filter(awake).filter_map(|machine| Some(machine.node.as_ref()?.next_wake()));
+        let running = |machine: &&Machine| !machine.suspended;
+        let next_wakes = self
+            .machines
+            .iter()
+            .filter(running)
+            .filter_map(|machine| Some(machine.node.as_ref()?.next_wake()));
         let next_event = self.queue.keys().next().map(|(at, _)| *at);
-        let next = wakes.chain(next_event).min().map(|at| at.max(self.now));
+        let next = next_wakes.chain(next_event).min().map(|at| at.max(self.now));
         let Some(next) = next.filter(|next| *next <= end) else {
             self.now = end;
             return false;
@@ -434,13 +441,13 @@
                 node.tick(next);
                 self.process_outputs(number);
                 let node = self.machines[number].node.as_ref().unwrap();
-                assert!(node.next_wake() > next, "{} wakes for nothing", node.me().host);
+                assert!(node.next_wake() > next, "{} is due again at once after a tick", node.me().host);
             }
         }
         true
     }
 
-    /// The process on a machine says that it is about to end; to be ended by [`Cluster::kill`].
+    /// The process on a machine resigns; the caller ends it by [`Cluster::kill`].
     pub fn resign(&mut self, number: usize) {
         let now = self.now;
         if let Some(node) = &mut self.machines[number].node {
@@ -449,7 +456,7 @@
         }
     }
 
-    /// The process on a machine is about to end, and waits for another one to take its place.
+    /// The process on a machine announces that it is about to stop, and waits to be replaced.
     pub fn leave(&mut self, number: usize) {
         let now = self.now;
         if let Some(node) = &mut self.machines[number].node {
@@ -458,24 +465,24 @@
         }
     }
 
-    /// The newest list of members that came out as committed; none: the first one holds.
-    pub fn agreed_members(&self) -> Option<&Vec<Member>> {
+    /// The newest committed member list; none while the first one is in force.
+    pub fn committed_members(&self) -> Option<&Vec<Member>> {
         self.member_lists.last_key_value().map(|(_, members)| members)
     }
 
-    /// The newest index that came out as committed, and its term.
+    /// The newest committed index, and its term.
     pub fn newest_commit(&self) -> Option<(u64, u64)> {
         self.committed.last_key_value().map(|(index, (term, _))| (*index, *term))
     }
 
-    /// The synced part of a machine's disk has this entry.
+    /// This entry is in the synced part of a machine's disk.
     pub fn has_synced(&self, number: usize, (index, term): (u64, u64)) -> bool {
         let Some(kept) = self.machines[number].disk.synced() else { return false };
         kept.snapshot.as_ref().is_some_and(|snapshot| snapshot.index >= index)
             || kept.entries.iter().any(|entry| (entry.index, entry.term) == (index, term))
     }
 
-    /// The machine that leads and may take proposals, by the newest term.
+    /// The machine that leads in the newest term and accepts proposals.
     pub fn leader(&self) -> Option<usize> {
         let ready = |number: &usize| self.machines[*number].node.as_ref().is_some_and(Consensus::ready);
         (0..self.machines.len()).filter(ready).max_by_key(|number| self.node(*number).term())
@@ -485,7 +492,7 @@
         self.machines[number].node.as_ref().unwrap()
     }
 
-    /// Waits for a leader that is ready.
+    /// Waits for a leader that is ready and has a majority.
     pub fn wait_for_leader(&mut self, ms: u64) -> usize {
         for _ in 0..ms / 10 {
             if let Some(leader) = self.leader() {
@@ -498,7 +505,7 @@
         panic!("no leader within {ms} ms: {}", self.describe());
     }
 
-    /// Proposes at the leader until a value is acknowledged.
+    /// Proposes values at the leader until one is acknowledged.
     pub fn commit(&mut self, ms: u64) -> String {
         let end = self.now + ms;
         while self.now < end {
@@ -516,39 +523,39 @@
         panic!("nothing committed within {ms} ms");
     }
 
-    /// Puts on the log who is to stay away: each a machine, and the one that has to be a member first.
-    pub fn commit_exclusions(&mut self, away: &[(usize, Option<usize>)]) {
-        let word = self.exclusions_value(away);
+    /// Commits exclusions: each names a machine and, if any, the one that has to be a member first.
+    pub fn commit_exclusions(&mut self, exclusions: &[(usize, Option<usize>)]) {
+        let value = self.exclusions_value(exclusions);
         for _ in 0..40 {
             let leader = self.wait_for_leader(3_000);
-            if self.propose_value(leader, word.clone()).is_some() {
+            if self.propose_value(leader, value.clone()).is_some() {
                 self.run(100);
-                // The same word twice says the same.
-                if self.acknowledged.contains(&word) {
+                // Proposing the value again is harmless, as it sets the same exclusions.
+                if self.acknowledged.contains(&value) {
                     return;
                 }
             }
             self.run(20);
         }
-        panic!("nobody takes the order: {}", self.describe());
+        panic!("the exclusions were not committed: {}", self.describe());
     }
 
-    fn exclusions_value(&self, away: &[(usize, Option<usize>)]) -> String {
+    fn exclusions_value(&self, exclusions: &[(usize, Option<usize>)]) -> String {
         let host = |number: usize| self.machines[number].host.clone();
-        let away: Vec<Exclusion> = away
+        let exclusions: Vec<Exclusion> = exclusions
             .iter()
-            .map(|(gone, after)| Exclusion { host: host(*gone), after: after.map(host) })
+            .map(|(excluded, after)| Exclusion { host: host(*excluded), after: after.map(host) })
             .collect();
-        format!("{EXCLUSIONS_PREFIX}{}", serde_json::to_string(&away).unwrap())
+        format!("{EXCLUSIONS_PREFIX}{}", serde_json::to_string(&exclusions).unwrap())
     }
 
-    /// The same, at a leader, without waiting for it.
-    pub fn propose_exclusions(&mut self, leader: usize, away: &[(usize, Option<usize>)]) {
-        let word = self.exclusions_value(away);
-        self.propose_value(leader, word);
+    /// Proposes exclusions at a leader without waiting for the commit.
+    pub fn propose_exclusions(&mut self, leader: usize, exclusions: &[(usize, Option<usize>)]) {
+        let value = self.exclusions_value(exclusions);
+        self.propose_value(leader, value);
     }
 
-    /// The members by number, as their leader has them, once all of it is committed.
+    /// Machine numbers of the members, by the leader's log.
     pub fn members(&self) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let number = |member: &Member| self.machines.iter().position(|m| m.host == member.host).unwrap();
@@ -557,7 +564,7 @@
         members
     }
 
-    /// Waits until these, and no others, are members, and one of them leads.
+    /// Waits until exactly these are members, and one of them leads.
     pub fn wait_for_members(&mut self, ms: u64, wanted: &[usize]) {
         for _ in 0..ms / 20 {
             if self.members() == wanted && self.leader().is_some_and(|leader| wanted.contains(&leader)) {
@@ -568,19 +575,20 @@
         panic!("{wanted:?} are not the members within {ms} ms: {}", self.describe());
     }
 
-    /// All that was acknowledged is in this machine's state, in one order.
-    pub fn assert_has_acked(&self, number: usize) {
+    /// Asserts that all acknowledged values are in this machine's state.
+    pub fn assert_has_acknowledged(&self, number: usize) {
         let seen: HashSet<&String> = self.machines[number].state.iter().map(|(_, value)| value).collect();
         for value in &self.acknowledged {
             assert!(
                 seen.contains(value),
-                "{value} was acknowledged and is lost on {}",
+                "{value} was acknowledged but is missing on {}",
                 self.machines[number].host
             );
         }
     }
 
-    /// Every host that runs is a member with its number of now, and no change is under way.
+    /// Every running machine is a member under its current number, all have the same list, and no replacement is in
+    /// progress.
     pub fn all_running_are_members(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let members = self.node(leader).members();
@@ -592,7 +600,7 @@
         members.len() == running.len() && running.iter().all(agrees)
     }
 
-    /// Waits until that is so.
+    /// Waits until [`Cluster::all_running_are_members`].
     pub fn wait_until_all_are_members(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
             if self.all_running_are_members() {
@@ -603,14 +611,14 @@
         panic!("not all are members within {ms} ms: {}", self.describe());
     }
 
-    /// What each machine takes itself and the core for.
+    /// Each machine's view of itself and the cluster, for panic messages.
     pub fn describe(&self) -> String {
         let view = |node: &Consensus| {
             let ids: Vec<_> =
                 node.members().iter().map(|member| (member.id % 10_000, &member.host)).collect();
             let me = (node.me().id % 10_000, &node.me().host);
             format!(
-                "{me:?} term {} leads {} sick {} members {ids:?}",
+                "{me:?} term {} leads {} disk failed {} members {ids:?}",
                 node.term(),
                 node.is_leader(),
                 node.disk_failed()
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,7 +1,8 @@
-//! Model checking: all interleavings of small scenarios keep the rules of consensus, and break one if a guard is disabled.
+//! Model checking: all interleavings of small scenarios keep the rules of consensus, and break one if a guard is
+//! disabled.
 //!
-//! The depth of the scenarios is limited so that the tests take some seconds; `MODEL_DEPTH=100 MODEL_SECONDS=3600` explores
-//! them completely.
+//! The depth of the scenarios is limited so that the tests take some seconds; `MODEL_DEPTH=100 MODEL_SECONDS=3600`
+//! explores them completely.
 
 mod model_cluster;
 
@@ -185,8 +186,9 @@
     Scenario { candidates: &[1], depth: 12, ..Scenario::new("leases", 3, 2, &limits) }
 }
 
-/// Machine 2 votes for machine 1 and requests its pre-vote, and with that vote machine 1 leads a moment later. Machine 2 then
-/// answers the leader and restarts, while a reply that machine 1 sent before it led is still in flight.
+/// Machine 2 votes for machine 1 and requests its pre-vote, and with that vote machine 1 leads a moment later.
+/// Machine 2 then answers the leader and restarts, while a reply that machine 1 sent before it led is still in
+/// flight.
 fn late_pre_vote_replies() -> Scenario {
     let candidacy = [
         Advance,
@@ -227,8 +229,8 @@
     Scenario { candidates: &[1, 2], before, depth: 9, ..Scenario::new("wiped", 3, 2, &limits) }
 }
 
-/// The leader removes machines 3 and 4, which were silent for a long time. Then the leader is gone, and machine 2, which has
-/// not received the removals, stands for election.
+/// The leader removes machines 3 and 4, which were silent for a long time. Then the leader is gone, and machine 2,
+/// which has not received the removals, stands for election.
 fn removals() -> Scenario {
     let round = [Advance, Heartbeat(0), DeliverAll(1), DeliverAll(2), DeliverAll(0), LoseEverything];
     let last = [
@@ -253,8 +255,8 @@
     }
 }
 
-/// The leader replaces machine 2, which was silent for a long time, by the empty machine 3. Then the leader is gone, and
-/// machine 2, which has not received the replacement, stands for election.
+/// The leader replaces machine 2, which was silent for a long time, by the empty machine 3. Then the leader is gone,
+/// and machine 2, which has not received the replacement, stands for election.
 fn replacements() -> Scenario {
     let join = [
         Advance,
--- a/crates/consensus/tests/model_cluster/mod.rs
+++ b/crates/consensus/tests/model_cluster/mod.rs
@@ -1,9 +1,9 @@
 //! A small cluster for a model checker: real [`Consensus`] instances, disks that hold what was synced, and a network in
 //! which any message may arrive at any time, never, or twice. [`Violation`] lists the rules that are checked.
 //!
-//! Without a clock (limit of `ADVANCE` 0) an election time may end at any moment, and a leader has no lease, as the shortest
-//! election time is 0: a rule that holds then holds for any behaviour of the clocks. With a clock all members share coarse
-//! ticks, and each may act any time after it is due.
+//! Without a clock (limit of `ADVANCE` 0) an election time may end at any moment, and a leader has no lease, as the
+//! shortest election time is 0: a rule that holds then holds for any behaviour of the clocks. With a clock all
+//! members share coarse ticks, and each may act any time after it is due.
 
 mod disk;
 mod violation;
@@ -457,8 +457,8 @@
         }
     }
 
-    /// A member whose election time ended requests pre-votes. As these change nothing at the other members, the replies are
-    /// computed and delivered at once.
+    /// A member whose election time ended requests pre-votes. As these change nothing at the other members, the
+    /// replies are computed and delivered at once.
     fn start_election(&self, state: &mut ClusterState, number: usize) {
         let now = self.idle_time(state) + u64::from(!self.timed());
         if self.pre_votes_as_messages {
@@ -526,8 +526,8 @@
         self.run_on(state, number, |_, _| ());
     }
 
-    /// Searches for a broken rule and returns it with the actions that led to it. With one thread the result is always the
-    /// same.
+    /// Searches for a broken rule and returns it with the actions that led to it. With one thread the result is
+    /// always the same.
     pub fn search(self, threads: usize) -> Option<(&'static str, Vec<Action>)> {
         let (name, disabled, start) = (self.name, self.disabled.clone(), Instant::now());
         let seconds = std::env::var("MODEL_SECONDS").map_or(600, |seconds| seconds.parse().unwrap());
--- a/crates/consensus/tests/storms.rs
+++ b/crates/consensus/tests/storms.rs
@@ -1,4 +1,5 @@
-//! Storms of faults over whole clusters; the seed of each is printed before it, `STORM=seed` plays one again, and `STORMS=count` that many.
+//! Random sequences of faults (storms) on whole clusters. The seed of each is printed before it; `STORM=seed` repeats
+//! one, and `STORMS=count` sets their number.
 
 mod cluster;
 
@@ -6,8 +7,8 @@
 
 const STORMS: u64 = 600;
 
-/// Does something bad, or makes something good again.
-fn trouble(cluster: &mut Cluster) {
+/// Injects a random fault, or repairs one.
+fn inject_or_repair(cluster: &mut Cluster) {
     let count = cluster.machines.len();
     let (one, other) = (cluster.rng.usize(..count), cluster.rng.usize(..count));
     let target = if cluster.rng.bool() { cluster.leader().unwrap_or(one) } else { one };
@@ -16,7 +17,7 @@
     match cluster.rng.u8(..18) {
         0 | 1 if up => cluster.kill(target),
         2 | 3 if up => cluster.lose_power(target),
-        // One disk at a time, and none before all of the last one's is there again.
+        // One disk at a time, and none before the last wiped machine is a member again.
         4 if all_up && cluster.all_running_are_members() => cluster.wipe(target),
         5 if up => cluster.machines[target].suspended = true,
         6 | 7 if cluster.machines[one].suspended => cluster.resume(one),
@@ -43,7 +44,7 @@
     }
 }
 
-fn heal(cluster: &mut Cluster) {
+fn repair_everything(cluster: &mut Cluster) {
     cluster.blocked_links.clear();
     (cluster.loss_percent, cluster.duplicate_percent, cluster.delay_percent) = (0, 0, 0);
     (cluster.max_latency_ms, cluster.max_sync_ms) = (2, 3);
@@ -59,18 +60,18 @@
     }
 }
 
-fn storm(seed: u64) -> (usize, usize) {
+fn run_storm(seed: u64) -> (usize, usize) {
     let members = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut cluster = Cluster::new(members, seed);
     (cluster.duplicate_percent, cluster.delay_percent) = (cluster.rng.u8(..10), cluster.rng.u8(..6));
-    // Near and far apart, with quick and slow disks.
+    // Short and long latencies, quick and slow disks.
     cluster.max_latency_ms = [2, 2, 40, 120][cluster.rng.usize(..4)];
     cluster.max_sync_ms = [3, 3, 30, 120][cluster.rng.usize(..4)];
     cluster.run(700);
-    let (steps, calm) = (cluster.rng.usize(40..120), cluster.rng.u8(2..9));
+    let (steps, fault_interval) = (cluster.rng.usize(40..120), cluster.rng.u8(2..9));
     for _ in 0..steps {
-        if cluster.rng.u8(..calm) == 0 {
-            trouble(&mut cluster);
+        if cluster.rng.u8(..fault_interval) == 0 {
+            inject_or_repair(&mut cluster);
         }
         for _ in 0..cluster.rng.usize(..6) {
             let number = cluster.rng.usize(..members);
@@ -82,20 +83,20 @@
         let ms = cluster.rng.u64(..150);
         cluster.run(ms);
     }
-    heal(&mut cluster);
+    repair_everything(&mut cluster);
     cluster.commit(10_000);
     cluster.wait_until_all_are_members(20_000);
     cluster.run(2_000);
     for number in 0..members {
-        cluster.assert_has_acked(number);
+        cluster.assert_has_acknowledged(number);
     }
     (cluster.acknowledged.len(), cluster.reads_done)
 }
 
 #[test]
-fn storms_lose_nothing() {
+fn random_faults_lose_no_acknowledged_value() {
     if let Ok(seed) = std::env::var("STORM") {
-        println!("{:?}", storm(seed.parse().unwrap()));
+        println!("{:?}", run_storm(seed.parse().unwrap()));
         return;
     }
     let start = fastrand::u64(..1 << 40);
@@ -103,7 +104,7 @@
     let (mut acknowledged, mut reads) = (0, 0);
     for seed in start..start + count {
         println!("storm {seed}");
-        let (more_acked, more_reads) = storm(seed);
+        let (more_acked, more_reads) = run_storm(seed);
         (acknowledged, reads) = (acknowledged + more_acked, reads + more_reads);
     }
     println!("{acknowledged} acknowledged, {reads} reads");
