--- a/crates/controller/src/tell.rs
+++ b/crates/controller/src/tell.rs
@@ -47,6 +47,6 @@
         Event::Diverged { index, version } => {
             log::error!("event=state_diverged index={index} version={version}");
         }
-        Event::StateTransfer { after } => log::warn!("event=state_restated index={after}"),
+        Event::Restated { after } => log::warn!("event=state_restated index={after}"),
     }
 }
--- a/crates/replica/src/divergence.rs
+++ b/crates/replica/src/divergence.rs
@@ -103,7 +103,7 @@
             }
         };
         self.state = state;
-        self.out.events.push(Event::StateTransfer { after: restated.last_index });
+        self.out.events.push(Event::Restated { after: restated.last_index });
         let held = self.divergence.take().map(|divergence| divergence.held).unwrap_or_default();
         for (index, entry) in held.into_iter().filter(|(index, _)| *index > restated.last_index) {
             self.apply(now, index, entry);
--- a/crates/replica/src/effects.rs
+++ b/crates/replica/src/effects.rs
@@ -92,5 +92,5 @@
     /// The entry made another document here than where it was proposed: this member's state isn't the log's any more.
     Diverged { index: u64, version: u64 },
     /// It goes on from the leader's state, which holds all up to this entry.
-    StateTransfer { after: u64 },
+    Restated { after: u64 },
 }
--- a/crates/replica/tests/differences.rs
+++ b/crates/replica/tests/differences.rs
@@ -306,7 +306,7 @@
         assert!(core
             .events
             .iter()
-            .any(|(node, event)| *node == odd && matches!(event, Event::StateTransfer { .. })));
+            .any(|(node, event)| *node == odd && matches!(event, Event::Restated { .. })));
     }
 }
 
