--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -246,8 +246,8 @@
 /// A gateway's report on the quota units of one tenant.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TenantUnits {
-    /// The gateway's loan: units held, plus units spent in the window that is still running. The difference to what
-    /// the counter has lent has been returned.
+    /// The gateway's loan: units held, plus units spent whose window is still running. If the counter has lent more than
+    /// that, the gateway has returned the rest.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
     pub loan: u64,
     /// Units requested; 0: none.
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -25,7 +25,7 @@
 /// The shares of one tenant, by incarnation of the gateway process.
 #[derive(Debug, Clone, Default)]
 struct TenantShares {
-    /// Time of the first call, ms.
+    /// Time of the first call since there were no shares, ms.
     first_call: u64,
     shares: BTreeMap<u64, Share>,
 }
--- a/crates/pacing/tests/throttle.rs
+++ b/crates/pacing/tests/throttle.rs
@@ -13,13 +13,16 @@
 const CLIENT_TIMEOUT_MS: f64 = 3_000.0;
 const RANKS: [Rank; 3] = [Rank::Deferrable, Rank::Interactive, Rank::Booking];
 
+fn stage_json((for_s, wait_s, read_wait_s, pace): &(f64, f64, f64, f64)) -> serde_json::Value {
+    serde_json::json!({"for_s": for_s, "wait_s": wait_s, "read_wait_s": read_wait_s, "pace": pace})
+}
+
 /// A schedule with these stages: duration, s; delay, s; delay of reads, s; pace as a fraction of a rate of 100 per
 /// second.
 fn schedule(stages: &[(f64, f64, f64, f64)]) -> StageSchedule {
-    let stage = |(for_s, wait_s, read_wait_s, pace): &(f64, f64, f64, f64)| serde_json::json!({"for_s": for_s, "wait_s": wait_s, "read_wait_s": read_wait_s, "pace": pace});
     let config = serde_json::json!({"config_version": 1, "routes": {}, "backends": {},
         "tenants": {TENANT: {"api_keys": ["k"], "rate_per_s": 100}},
-        "trials": {TENANT: {"floor_per_s": 5, "stages": stages.iter().map(stage).collect::<Vec<_>>()}}});
+        "trials": {TENANT: {"floor_per_s": 5, "stages": stages.iter().map(stage_json).collect::<Vec<_>>()}}});
     StageSchedule::for_tenant(Document::of(config).expect("valid").config(), TENANT)
 }
 
@@ -507,7 +510,10 @@
     #[test]
     fn no_request_is_delayed_beyond_its_deadline(
         share in 0.0f64..40.0,
-        requests in proptest::collection::vec((0u8..3, 0.0f64..4_000.0, 0.0f64..900.0, any::<bool>(), 0.0f64..300.0), 1..120),
+        requests in proptest::collection::vec(
+            (0u8..3, 0.0f64..4_000.0, 0.0f64..900.0, any::<bool>(), 0.0f64..300.0),
+            1..120,
+        ),
     ) {
         let mut throttle = Throttle::default();
         throttle.set_stage(0.0, TENANT, 1, 2, 0.0);
