--- a/crates/registry/src/catalog.rs
+++ b/crates/registry/src/catalog.rs
@@ -294,7 +294,8 @@
         if change.version == version && !self.needs_full_config {
             return Ok(None);
         }
-        let usable_base = |base: &&Rc<ConfigLine>| base.version == change.from && !self.needs_full_config;
+        let usable_base =
+            |base: &&Rc<VersionedConfig>| base.version == change.from && !self.needs_full_config;
         let Some(base) = self.catalog.config.as_ref().filter(usable_base) else {
             return Err(ApplyError::BaseMismatch(version, change.from));
         };
