--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -1,38 +1,38 @@
-//! The leader's side: what is lent to each gateway of each tenant.
+//! The leader's side: records what is lent to each gateway of each tenant, and grants units.
 
-use crate::paces::Paces;
-use crate::peak::Peak;
-use crate::ring::Ring;
+use crate::pace_sum::PaceSum;
+use crate::sliding_sum::SlidingSum;
 use crate::takeover::Takeover;
 use crate::tuning::{Guard, Limit, Tuning};
 use crate::unused_pace::UnusedPace;
+use crate::window_extreme::WindowExtreme;
 use nickeljunction_messages::{TenantGrant, TenantUnits, UnitsAnswer, UnitsCall};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first allowances are for so many gateways at least.
-const FEW_GATEWAYS: u64 = 4;
+/// A first grant is sized for at least this many gateways.
+const MIN_ASSUMED_GATEWAYS: u64 = 4;
 
-/// A change of the list of gateway processes (lives) in the replicated log: those that a counter may lend to.
+/// A change of the list of gateway processes in the replicated log. A counter lends only to listed processes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProcessListChange {
-    /// Lives to be added, with the names of their machines.
+    /// Processes to be added, with the names of their machines.
     pub added: BTreeMap<u64, String>,
-    /// Lives to be removed: nothing of theirs is in force any more.
+    /// Processes to be removed: none of their units is in force any more.
     pub removed: Vec<u64>,
 }
 
-/// How a tenant's units stand.
+/// How the units of a tenant are used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantUsage {
-    /// Most that may be spent in a window.
+    /// Maximum units that may be spent in a window.
     pub cap: u64,
-    /// Lent to gateways that live.
+    /// Units lent to running gateways.
     pub lent: u64,
-    /// Held back for lives that have ended.
+    /// Units held back for processes that have ended.
     pub held_for_ended: u64,
-    /// Held back for lives that an older counter may have lent to and that have not told.
+    /// Units held back for processes that an older counter may have lent to and that have not reported.
     pub held_for_unreported: u64,
-    /// The first of what is held back is so since then, ms ago; `None`: nothing is.
+    /// For how long the oldest of these units have been held back, ms; `None` if there are none.
     pub held_back_ms: Option<u64>,
 }
 
@@ -43,117 +43,124 @@
     }
 }
 
-/// What a life has of a tenant.
+/// Units of one tenant that are lent to one process.
 #[derive(Debug, Clone)]
-struct Lent {
-    loan: u64,
-    /// A pace that holds until then, whatever the loan is.
-    lift: u64,
-    lift_until: u64,
-    /// Most pace over the last window.
-    peak: Peak,
-    /// Units allowed beyond the pace.
-    boosts: Ring,
-    /// Its pace, as the tenant's book counts it.
-    counted: u64,
-    /// What remained of the cap, as it was last answered.
-    class_told: Option<u64>,
+struct ProcessLoan {
+    units: u64,
+    /// Minimum pace until `pace_floor_until`, whatever the loan is.
+    pace_floor: u64,
+    pace_floor_until: u64,
+    /// Maximum pace over the last window.
+    max_pace: WindowExtreme,
+    /// Units granted beyond the pace.
+    boosts: SlidingSum,
+    /// The pace of the process as included in the tenant's sum of paces.
+    counted_pace: u64,
+    /// The availability class of the last answer, see `availability_class`.
+    reported_class: Option<u64>,
 }
 
-impl Lent {
-    fn new(tuning: &Tuning) -> Lent {
-        let boosts = Ring::new(tuning.slot_ms, tuning.boost_ms());
-        Lent { loan: 0, lift: 0, lift_until: 0, peak: Peak::default(), boosts, counted: 0, class_told: None }
+impl ProcessLoan {
+    fn new(tuning: &Tuning) -> ProcessLoan {
+        let boosts = SlidingSum::new(tuning.slot_ms, tuning.boost_in_force_ms());
+        ProcessLoan {
+            units: 0,
+            pace_floor: 0,
+            pace_floor_until: 0,
+            max_pace: WindowExtreme::default(),
+            boosts,
+            counted_pace: 0,
+            reported_class: None,
+        }
     }
 
     fn pace(&self, now: u64) -> u64 {
-        if now < self.lift_until {
-            self.loan.max(self.lift)
+        if now < self.pace_floor_until {
+            self.units.max(self.pace_floor)
         } else {
-            self.loan
+            self.units
         }
     }
 }
 
-/// A gateway's process.
+/// A running gateway process.
 #[derive(Debug, Clone)]
-struct Life {
-    name: String,
-    born: u64,
+struct Process {
+    machine: String,
+    started_at: u64,
     seq: u64,
-    heard: u64,
-    lent: BTreeMap<String, Lent>,
+    last_call_at: u64,
+    loans: BTreeMap<String, ProcessLoan>,
 }
 
-/// Units held back for a life that has ended, or is taken to have.
+/// Units held back for a process that has ended or is presumed to have ended.
 #[derive(Debug, Clone)]
 struct HeldBack {
-    life: u64,
+    process_id: u64,
     units: u64,
     pace: u64,
     boosts: u64,
-    ended: u64,
+    ended_at: u64,
 }
 
 /// What is lent and held back of one tenant.
 #[derive(Debug, Clone)]
-struct Book {
+struct TenantLedger {
     limit: Limit,
-    /// Sum of the loans of lives.
-    out: u64,
+    /// Sum of the loans of running processes.
+    lent: u64,
     held_back: Vec<HeldBack>,
-    /// What may be allowed beyond the paces of lives.
+    /// Units that may be granted beyond the paces of the processes.
     unused: UnusedPace,
-    /// Paces of lives.
-    paces: Paces,
+    /// Paces of running processes.
+    paces: PaceSum,
 }
 
-impl Book {
-    fn new(limit: Limit, unused: UnusedPace) -> Book {
-        Book { limit, out: 0, held_back: Vec::new(), unused, paces: Paces::default() }
+impl TenantLedger {
+    fn new(limit: Limit, unused: UnusedPace) -> TenantLedger {
+        TenantLedger { limit, lent: 0, held_back: Vec::new(), unused, paces: PaceSum::default() }
     }
 
-    /// Counts the pace that `life` has now: after each change of what it has.
-    fn count(&mut self, now: u64, life: u64, lent: &mut Lent) {
-        let pace = lent.pace(now);
-        self.paces.count(&mut lent.counted, pace);
-        if now < lent.lift_until {
-            self.paces.lifted(life, lent.lift_until);
+    /// Updates the sum of paces by the current pace of a process. Must be called after each change of its loan.
+    fn update_pace(&mut self, now: u64, process_id: u64, loan: &mut ProcessLoan) {
+        let pace = loan.pace(now);
+        self.paces.update(&mut loan.counted_pace, pace);
+        if now < loan.pace_floor_until {
+            self.paces.add_floor_end(process_id, loan.pace_floor_until);
         }
     }
 }
 
-/// A life that has ended.
+/// A process that has ended.
 #[derive(Debug, Clone, Copy)]
-struct EndedLife {
-    /// When.
-    at: u64,
+struct EndedProcess {
+    ended_at: u64,
     /// Number of its last call.
     seq: u64,
 }
 
-/// An earlier life of a machine whose next one calls.
+/// An earlier process of the machine of a process that calls for the first time.
 #[derive(Debug, Clone, Copy)]
-struct EarlierLife {
-    number: u64,
-    born: u64,
-    heard: u64,
+struct EarlierProcess {
+    process_id: u64,
+    started_at: u64,
+    last_call_at: u64,
 }
 
-/// Whether a call is of a process that may be lent to.
+/// Result of registering the process of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Registered {
-    /// It tells what an older counter lent to it.
+enum Registration {
+    /// The process reports what an older counter lent to it.
     FromOlderCounter,
-    /// What it has is in these books, or it has nothing.
-    Known,
-    /// Its machine runs a newer process.
+    /// The process has no loans but those in this counter's ledgers.
+    Current,
+    /// The machine of the process runs a newer one.
     Superseded,
 }
 
-/// How many machines these processes run on.
-fn machines_of(lives: &BTreeMap<u64, String>) -> usize {
-    lives.values().collect::<BTreeSet<_>>().len()
+/// Number of machines that these processes run on.
+fn count_machines(processes: &BTreeMap<u64, String>) -> usize {
+    processes.values().collect::<BTreeSet<_>>().len()
 }
 
 /// The counter of all tenants' units.
@@ -161,414 +168,455 @@
 pub struct Counter {
     term: u64,
     tuning: Tuning,
-    books: BTreeMap<String, Book>,
-    lives: BTreeMap<u64, Life>,
-    /// Lives that have ended; kept until nothing of theirs is in force.
-    ended: BTreeMap<u64, EndedLife>,
+    ledgers: BTreeMap<String, TenantLedger>,
+    processes: BTreeMap<u64, Process>,
+    /// Processes that have ended; kept until none of their units is in force.
+    ended: BTreeMap<u64, EndedProcess>,
+    /// Processes in the replicated log, with the names of their machines.
     logged: BTreeMap<u64, String>,
-    /// Machines of these lives.
+    /// Number of machines of the logged processes.
     logged_machines: usize,
-    /// Lives that are to be removed from the log: treated as if they were not in it.
-    leaving: BTreeSet<u64>,
-    /// Lives that are to be added to the log, and since when: they are not removed at the same time.
-    coming: BTreeMap<u64, u64>,
+    /// Processes whose removal from the log is pending: treated as if they were not in it.
+    pending_removal: BTreeSet<u64>,
+    /// Processes whose addition to the log is pending, and since when: they are not removed meanwhile.
+    pending_addition: BTreeMap<u64, u64>,
     takeover: Option<Takeover>,
-    /// Before then nothing is allowed beyond the pace: what an older counter allowed may still be on its way.
-    boosts_from: u64,
+    /// Before this time nothing is granted beyond the pace, as grants of an older counter may still be in flight.
+    boosts_allowed_from: u64,
 }
 
 impl Counter {
-    /// The counter of a leader from `now` on, in `term`. `logged`: the lives in the replicated log, which is up to date;
-    /// others have no unit. It lends nothing before [`Counter::set_limits`].
+    /// The counter of a leader from `now` on, in `term`. `logged` are the processes in the replicated log, which must
+    /// be up to date: other processes have no units. Lends nothing before [`Counter::set_limits`].
     pub fn new(now: u64, term: u64, tuning: Tuning, logged: BTreeMap<u64, String>) -> Counter {
         let takeover = Takeover::new(now, &tuning, logged.clone());
-        let boosts_from = if logged.is_empty() { now } else { now + tuning.max_boost_answer_ms };
+        let boosts_allowed_from = if logged.is_empty() { now } else { now + tuning.max_boost_answer_ms };
         Counter {
             term,
             tuning,
-            books: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            ledgers: BTreeMap::new(),
+            processes: BTreeMap::new(),
             ended: BTreeMap::new(),
-            logged_machines: machines_of(&logged),
+            logged_machines: count_machines(&logged),
             logged,
-            leaving: BTreeSet::new(),
-            coming: BTreeMap::new(),
+            pending_removal: BTreeSet::new(),
+            pending_addition: BTreeMap::new(),
             takeover: Some(takeover),
-            boosts_from,
+            boosts_allowed_from,
         }
     }
 
-    /// For so long after its start, ms, it holds units back for lives of which an older counter knew, should none of them
-    /// tell what it has; 0 without any.
+    /// Maximum time after its start for which the counter holds units back for processes that an older counter may have
+    /// lent to, ms: until then if none of them reports. 0 if there are no such processes.
     pub fn takeover_ms(&self) -> u64 {
         if self.logged.is_empty() {
             0
         } else {
-            self.tuning.lease_ms + self.tuning.span_ms()
+            self.tuning.lease_ms + self.tuning.in_force_ms()
         }
     }
 
-    /// Tenants with a limit, by the newest configuration. A tenant whose limit goes is forgotten.
+    /// Sets the limits of the newest configuration. The ledger of a tenant whose limit is removed is dropped.
     pub fn set_limits(&mut self, now: u64, limits: &BTreeMap<String, Limit>) {
         self.tick(now);
-        self.books.retain(|tenant, _| limits.contains_key(tenant));
-        for life in self.lives.values_mut() {
-            life.lent.retain(|tenant, _| limits.contains_key(tenant));
+        self.ledgers.retain(|tenant, _| limits.contains_key(tenant));
+        for process in self.processes.values_mut() {
+            process.loans.retain(|tenant, _| limits.contains_key(tenant));
         }
         for (tenant, limit) in limits {
-            match self.books.get_mut(tenant) {
-                Some(book) => {
-                    if let Some(takeover) = self.takeover.as_mut().filter(|_| limit.pace < book.limit.pace) {
-                        takeover.lowered(tenant, book.limit, *limit);
+            match self.ledgers.get_mut(tenant) {
+                Some(ledger) => {
+                    if let Some(takeover) = self.takeover.as_mut().filter(|_| limit.pace < ledger.limit.pace)
+                    {
+                        takeover.limit_lowered(tenant, ledger.limit, *limit);
                     }
-                    book.limit = *limit;
+                    ledger.limit = *limit;
                 }
                 None => {
-                    let unused = if now < self.boosts_from {
-                        UnusedPace::empty(self.boosts_from, &self.tuning)
+                    let unused = if now < self.boosts_allowed_from {
+                        UnusedPace::empty(self.boosts_allowed_from, &self.tuning)
                     } else {
-                        UnusedPace::full(now, &self.tuning, self.tuning.boost_of(limit.cap))
+                        UnusedPace::full(now, &self.tuning, self.tuning.max_boost(limit.cap))
                     };
-                    self.books.insert(tenant.clone(), Book::new(*limit, unused));
+                    self.ledgers.insert(tenant.clone(), TenantLedger::new(*limit, unused));
                 }
             }
-            self.settle_unused(now, tenant);
+            self.settle_unused_pace(now, tenant);
         }
     }
 
-    /// The lives in the replicated log, whenever they changed.
-    pub fn set_logged_processes(&mut self, lives: &BTreeMap<u64, String>) {
-        self.logged.clone_from(lives);
-        self.logged_machines = machines_of(lives);
-        self.leaving.retain(|life| lives.contains_key(life));
+    /// Sets the processes in the replicated log. Must be called whenever they have changed.
+    pub fn set_logged_processes(&mut self, processes: &BTreeMap<u64, String>) {
+        self.logged.clone_from(processes);
+        self.logged_machines = count_machines(processes);
+        self.pending_removal.retain(|process_id| processes.contains_key(process_id));
     }
 
-    /// Ages the books; also done by every other call. Once a second keeps memory small.
+    /// Ends the processes whose lease is over and drops what is out of force. Every call does so, too; calling this
+    /// once a second keeps memory use small.
     pub fn tick(&mut self, now: u64) {
         let lease_ms = self.tuning.lease_ms;
-        let silent = |life: &&Life| life.heard + lease_ms <= now;
-        let over: Vec<u64> =
-            self.lives.iter().filter(|(_, life)| silent(life)).map(|(number, _)| *number).collect();
-        for number in over {
-            let ended = self.lives[&number].heard + lease_ms;
-            self.end(number, ended);
-        }
-        let span_ms = self.tuning.span_ms();
-        self.ended.retain(|_, ended| ended.at + span_ms > now);
-        for book in self.books.values_mut() {
-            book.held_back.retain(|held| held.ended + span_ms > now);
-        }
-        if self.takeover.as_ref().is_some_and(|takeover| takeover.over(now, &self.tuning)) {
+        let is_lease_over = |process: &&Process| process.last_call_at + lease_ms <= now;
+        let expired: Vec<u64> = self
+            .processes
+            .iter()
+            .filter(|(_, process)| is_lease_over(process))
+            .map(|(process_id, _)| *process_id)
+            .collect();
+        for process_id in expired {
+            let ended_at = self.processes[&process_id].last_call_at + lease_ms;
+            self.end_process(process_id, ended_at);
+        }
+        let in_force_ms = self.tuning.in_force_ms();
+        self.ended.retain(|_, ended| ended.ended_at + in_force_ms > now);
+        for ledger in self.ledgers.values_mut() {
+            ledger.held_back.retain(|held| held.ended_at + in_force_ms > now);
+        }
+        if self.takeover.as_ref().is_some_and(|takeover| takeover.is_over(now, &self.tuning)) {
             self.takeover = None;
         }
     }
 
-    /// A life spends nothing after `ended`.
-    fn end(&mut self, number: u64, ended: u64) {
-        let Some(life) = self.lives.remove(&number) else { return };
-        for (tenant, mut lent) in life.lent {
-            let Some(book) = self.books.get_mut(&tenant) else { continue };
-            book.out -= lent.loan;
-            book.paces.count(&mut lent.counted, 0);
-            let pace = lent.pace(ended);
-            let pace = lent.peak.get(ended, self.tuning.span_ms(), pace, u64::max);
-            lent.boosts.age(ended);
-            let boosts = lent.boosts.sum();
-            book.held_back.push(HeldBack { life: number, units: lent.loan, pace, boosts, ended });
-        }
-        self.ended.insert(number, EndedLife { at: ended, seq: life.seq });
+    /// Ends a process, which spends nothing after `ended_at`, and holds back what it may have in force.
+    fn end_process(&mut self, process_id: u64, ended_at: u64) {
+        let Some(process) = self.processes.remove(&process_id) else { return };
+        for (tenant, mut loan) in process.loans {
+            let Some(ledger) = self.ledgers.get_mut(&tenant) else { continue };
+            ledger.lent -= loan.units;
+            ledger.paces.update(&mut loan.counted_pace, 0);
+            let pace = loan.pace(ended_at);
+            let pace = loan.max_pace.get(ended_at, self.tuning.in_force_ms(), pace, u64::max);
+            loan.boosts.expire(ended_at);
+            let boosts = loan.boosts.sum();
+            ledger.held_back.push(HeldBack { process_id, units: loan.units, pace, boosts, ended_at });
+        }
+        self.ended.insert(process_id, EndedProcess { ended_at, seq: process.seq });
     }
 
-    fn is_logged(&self, life: u64) -> bool {
-        self.logged.contains_key(&life) && !self.leaving.contains(&life)
+    fn is_logged(&self, process_id: u64) -> bool {
+        self.logged.contains_key(&process_id) && !self.pending_removal.contains(&process_id)
     }
 
-    /// What must be committed to the replicated log before [`Counter::handle_call`] lends to this life. Once it is:
-    /// [`Counter::set_logged_processes`], and then [`Counter::enrollment_committed`].
+    /// Returns what must be committed to the replicated log before [`Counter::handle_call`] lends to the process of
+    /// this call. Once it is committed, call [`Counter::set_logged_processes`] and then
+    /// [`Counter::enrollment_committed`].
     pub fn enrollment_for(&mut self, now: u64, call: &UnitsCall) -> Option<ProcessListChange> {
         if !call.all || call.end || call.to != self.term || self.is_logged(call.life) {
             return None;
         }
-        self.coming.insert(call.life, now);
+        self.pending_addition.insert(call.life, now);
         Some(ProcessListChange {
             added: BTreeMap::from([(call.life, call.name.clone())]),
             removed: Vec::new(),
         })
     }
 
-    /// A life that [`Counter::enrollment_for`] named is committed, after all that was proposed before.
-    pub fn enrollment_committed(&mut self, life: u64) {
-        self.leaving.remove(&life);
+    /// A process that [`Counter::enrollment_for`] named is committed to the log, after every earlier proposal.
+    pub fn enrollment_committed(&mut self, process_id: u64) {
+        self.pending_removal.remove(&process_id);
     }
 
-    /// Lives that may be removed from the log: call once in a while, and append the result.
+    /// Returns the processes that may be removed from the log. To be called periodically; the result is to be
+    /// appended to the log.
     pub fn removable_processes(&mut self, now: u64) -> Option<ProcessListChange> {
         self.tick(now);
-        let rest: BTreeSet<u64> = self.takeover.iter().flat_map(Takeover::unreported).collect();
-        self.coming.retain(|_, since| *since + self.tuning.lease_ms > now);
-        let known = |life: &u64| {
-            self.lives.contains_key(life)
-                || self.ended.contains_key(life)
-                || self.coming.contains_key(life)
-                || rest.contains(life)
+        let unreported: BTreeSet<u64> = self.takeover.iter().flat_map(Takeover::unreported).collect();
+        self.pending_addition.retain(|_, since| *since + self.tuning.lease_ms > now);
+        let is_needed = |process_id: &u64| {
+            self.processes.contains_key(process_id)
+                || self.ended.contains_key(process_id)
+                || self.pending_addition.contains_key(process_id)
+                || unreported.contains(process_id)
         };
-        let gone: Vec<u64> = self.logged.keys().filter(|life| !known(life)).copied().collect();
-        self.leaving.extend(&gone);
-        (!gone.is_empty()).then(|| ProcessListChange { added: BTreeMap::new(), removed: gone })
+        let removed: Vec<u64> =
+            self.logged.keys().filter(|process_id| !is_needed(process_id)).copied().collect();
+        self.pending_removal.extend(&removed);
+        (!removed.is_empty()).then(|| ProcessListChange { added: BTreeMap::new(), removed })
     }
 
-    /// Units of a tenant in force: lent, or held back for lives that are dead or not heard of.
+    /// Units of a tenant in force: lent, or held back for processes that have ended or not reported.
     pub fn used(&mut self, now: u64, tenant: &str) -> u64 {
         self.tick(now);
         self.used_now(now, tenant)
     }
 
     fn used_now(&self, now: u64, tenant: &str) -> u64 {
-        self.books.get(tenant).map_or(0, |book| self.standing(now, tenant, book).used())
+        self.ledgers.get(tenant).map_or(0, |ledger| self.usage(now, tenant, ledger).used())
     }
 
-    /// How each tenant's units stand, for operators; of books that were aged lately.
+    /// The usage of each tenant, for status pages and metrics, as of the last `tick`.
     pub fn usage_by_tenant(&self, now: u64) -> BTreeMap<String, TenantUsage> {
-        let books = self.books.iter();
-        books.map(|(tenant, book)| (tenant.clone(), self.standing(now, tenant, book))).collect()
+        let ledgers = self.ledgers.iter();
+        ledgers.map(|(tenant, ledger)| (tenant.clone(), self.usage(now, tenant, ledger))).collect()
     }
 
-    fn standing(&self, now: u64, tenant: &str, book: &Book) -> TenantUsage {
-        let (cap, tuning) = (book.limit.cap, &self.tuning);
+    fn usage(&self, now: u64, tenant: &str, ledger: &TenantLedger) -> TenantUsage {
+        let (cap, tuning) = (ledger.limit.cap, &self.tuning);
         let units_of = |held: &HeldBack| {
-            let paced = tuning.in_force(cap, 1, held.pace, now.saturating_sub(held.ended));
+            let paced = tuning.max_in_force(cap, 1, held.pace, now.saturating_sub(held.ended_at));
             held.units.min(paced + held.boosts)
         };
-        let held_back = book.held_back.iter().filter(|_| tuning.keeps(Guard::EndedProcesses));
+        let held_back = ledger.held_back.iter().filter(|_| tuning.enforces(Guard::EndedProcesses));
         let ended = held_back.map(units_of).sum();
-        let rest = self.takeover.as_ref().filter(|_| tuning.keeps(Guard::UnreportedProcesses));
-        let unheard = rest.map_or(0, |takeover| takeover.units(now, tenant, book.limit, tuning));
-        let since = book.held_back.iter().filter(|held| units_of(held) > 0).map(|held| held.ended);
-        let takeover = self.takeover.as_ref().filter(|_| unheard > 0).map(Takeover::started);
-        let held_ms = since.chain(takeover).min().map(|since| now.saturating_sub(since));
+        let unreported_processes =
+            self.takeover.as_ref().filter(|_| tuning.enforces(Guard::UnreportedProcesses));
+        let unreported =
+            unreported_processes.map_or(0, |takeover| takeover.units(now, tenant, ledger.limit, tuning));
+        let since = ledger.held_back.iter().filter(|held| units_of(held) > 0).map(|held| held.ended_at);
+        let takeover_since = self.takeover.as_ref().filter(|_| unreported > 0).map(Takeover::started_at);
+        let held_back_ms = since.chain(takeover_since).min().map(|since| now.saturating_sub(since));
         TenantUsage {
             cap,
-            lent: book.out,
+            lent: ledger.lent,
             held_for_ended: ended,
-            held_for_unreported: unheard,
-            held_back_ms: held_ms,
+            held_for_unreported: unreported,
+            held_back_ms,
         }
     }
 
-    /// Sum of all paces at which may be spent now; `most` of them together.
-    fn pace_now(&mut self, now: u64, tenant: &str, most: u64) -> u64 {
-        let Counter { books, lives, takeover, .. } = self;
-        let Some(book) = books.get_mut(tenant) else { return 0 };
-        while let Some(number) = book.paces.lapsed(now) {
-            if let Some(lent) = lives.get_mut(&number).and_then(|life| life.lent.get_mut(tenant)) {
-                book.count(now, number, lent);
+    /// Sum of the paces of all processes, reported or not. `max` is the pace of the tenant's limit.
+    fn total_pace(&mut self, now: u64, tenant: &str, max: u64) -> u64 {
+        let Counter { ledgers, processes, takeover, .. } = self;
+        let Some(ledger) = ledgers.get_mut(tenant) else { return 0 };
+        while let Some(process_id) = ledger.paces.pop_ended_floor(now) {
+            if let Some(loan) =
+                processes.get_mut(&process_id).and_then(|process| process.loans.get_mut(tenant))
+            {
+                ledger.update_pace(now, process_id, loan);
             }
         }
-        let unknown = takeover.as_ref().map_or(0, |takeover| takeover.pace(now, tenant, most));
-        book.paces.sum() + unknown
+        let unreported = takeover.as_ref().map_or(0, |takeover| takeover.pace(now, tenant, max));
+        ledger.paces.sum() + unreported
     }
 
-    /// Notes which part of the tenant's pace nobody has from now on.
-    fn settle_unused(&mut self, now: u64, tenant: &str) {
-        let Some(Limit { cap, pace: most }) = self.books.get(tenant).map(|book| book.limit) else { return };
-        let rate = most.saturating_sub(self.pace_now(now, tenant, most));
-        let Counter { books, tuning, .. } = self;
-        if let Some(book) = books.get_mut(tenant) {
-            book.unused.settle(now, tuning, tuning.boost_of(cap), rate);
+    /// Updates the inflow of the tenant's unused pace: the part of its pace that no process has.
+    fn settle_unused_pace(&mut self, now: u64, tenant: &str) {
+        let Some(Limit { cap, pace: max }) = self.ledgers.get(tenant).map(|ledger| ledger.limit) else {
+            return;
+        };
+        let rate = max.saturating_sub(self.total_pace(now, tenant, max));
+        let Counter { ledgers, tuning, .. } = self;
+        if let Some(ledger) = ledgers.get_mut(tenant) {
+            ledger.unused.settle(now, tuning, tuning.max_boost(cap), rate);
         }
     }
 
-    /// A gateway's call. `gateways`: how many there are, by the register; divides the first allowance. What
-    /// [`Counter::enrollment_for`] names must be on the log; a life that isn't gets nothing.
+    /// Answers a gateway's call. `gateways` is the number of registered gateways, among which first grants are divided.
+    /// What [`Counter::enrollment_for`] returned must be in the log; a process that is not gets nothing.
     pub fn handle_call(&mut self, now: u64, call: &UnitsCall, gateways: usize) -> UnitsAnswer {
         self.tick(now);
         let mut answer = UnitsAnswer { seq: call.seq, term: self.term, ..UnitsAnswer::default() };
-        // Overtaken by a newer call, or duplicated: the newer call's figures stand, and nothing is lent twice.
-        if self.lives.get(&call.life).is_some_and(|life| life.seq >= call.seq)
-            && self.tuning.keeps(Guard::CallOrder)
+        // The call was overtaken by a newer one or duplicated: the newer report stays, and nothing is lent twice.
+        if self.processes.get(&call.life).is_some_and(|process| process.seq >= call.seq)
+            && self.tuning.enforces(Guard::CallOrder)
         {
             return answer;
         }
-        // The same after its end: an old figure must not stand in place of what its spent units hold back.
+        // The same for a process that has ended: an old report must not replace what is held back for its spent units.
         if self.ended.get(&call.life).is_some_and(|ended| ended.seq >= call.seq) {
             return answer;
         }
-        // Told to another counter: more may have been lent since.
-        if call.all && call.to != self.term && self.tuning.keeps(Guard::IntendedTerm) {
+        // The report was addressed to another counter, which may have lent more since.
+        if call.all && call.to != self.term && self.tuning.enforces(Guard::IntendedTerm) {
             answer.tell = true;
             return answer;
         }
-        if !call.all && !self.lives.contains_key(&call.life) || !self.is_logged(call.life) {
+        if !call.all && !self.processes.contains_key(&call.life) || !self.is_logged(call.life) {
             answer.tell = true;
             return answer;
         }
-        let registered = self.register(now, call);
-        if registered == Registered::Superseded {
+        let registration = self.register(now, call);
+        if registration == Registration::Superseded {
             answer.tell = true;
             return answer;
         }
-        self.record_report(now, call, registered == Registered::FromOlderCounter);
+        self.record_report(now, call, registration == Registration::FromOlderCounter);
         if call.end {
-            self.end(call.life, now);
+            self.end_process(call.life, now);
             return answer;
         }
         let gateways = gateways.max(self.logged_machines) as u64;
-        // Of a tenant whose units are lent on demand a gateway that doesn't ask needs no word.
-        let concerned = |(tenant, book): &(&String, &Book)| {
-            call.tenants.contains_key(*tenant) || !self.tuning.lends_on_demand(book.limit.cap, gateways)
+        // For tenants whose units are lent on demand, a gateway that requests nothing needs no grant.
+        let needs_grant = |(tenant, ledger): &(&String, &TenantLedger)| {
+            call.tenants.contains_key(*tenant) || !self.tuning.lends_on_demand(ledger.limit.cap, gateways)
         };
         let tenants: Vec<String> =
-            self.books.iter().filter(concerned).map(|(tenant, _)| tenant.clone()).collect();
+            self.ledgers.iter().filter(needs_grant).map(|(tenant, _)| tenant.clone()).collect();
         for tenant in tenants {
-            let told = call.tenants.get(&tenant);
-            if let Some(grant) = self.grant(now, call.life, &tenant, told, gateways) {
+            let report = call.tenants.get(&tenant);
+            if let Some(grant) = self.grant(now, call.life, &tenant, report, gateways) {
                 answer.tenants.insert(tenant, grant);
             }
         }
         answer
     }
 
-    /// Notes that the process runs, and that earlier ones of its machine ended before its start.
-    fn register(&mut self, now: u64, call: &UnitsCall) -> Registered {
-        if let Some(life) = self.lives.get_mut(&call.life) {
-            (life.seq, life.heard) = (call.seq, now);
-            return Registered::Known;
+    /// Records that the process runs, and that earlier ones of its machine ended before it started.
+    fn register(&mut self, now: u64, call: &UnitsCall) -> Registration {
+        if let Some(process) = self.processes.get_mut(&call.life) {
+            (process.seq, process.last_call_at) = (call.seq, now);
+            return Registration::Current;
         }
-        let born = now.saturating_sub(call.born_ms);
-        let earlier = self.lives_of(&call.name);
-        // A late call of a process that has a successor.
-        if earlier.iter().any(|life| life.born > born) {
-            return Registered::Superseded;
+        let started_at = now.saturating_sub(call.born_ms);
+        let earlier = self.processes_of(&call.name);
+        // The call is a late one of a process that already has a successor.
+        if earlier.iter().any(|process| process.started_at > started_at) {
+            return Registration::Superseded;
         }
-        for life in earlier {
-            self.end(life.number, born.max(life.heard));
+        for process in earlier {
+            self.end_process(process.process_id, started_at.max(process.last_call_at));
         }
-        // One that was taken to have ended has not: what it tells stands in place of that.
+        // The process was presumed to have ended but runs: its report replaces what is held back for it.
         if self.ended.remove(&call.life).is_some() {
-            self.books.values_mut().for_each(|book| book.held_back.retain(|held| held.life != call.life));
-        }
-        let life = Life { name: call.name.clone(), born, seq: call.seq, heard: now, lent: BTreeMap::new() };
-        self.lives.insert(call.life, life);
-        let unreported =
-            |takeover: &mut Takeover| takeover.reported(call.life, &call.name, born, &self.tuning);
-        match self.takeover.as_mut().is_some_and(unreported) {
-            true => Registered::FromOlderCounter,
-            false => Registered::Known,
+            self.ledgers
+                .values_mut()
+                .for_each(|ledger| ledger.held_back.retain(|held| held.process_id != call.life));
+        }
+        let process = Process {
+            machine: call.name.clone(),
+            started_at,
+            seq: call.seq,
+            last_call_at: now,
+            loans: BTreeMap::new(),
+        };
+        self.processes.insert(call.life, process);
+        let was_unreported = |takeover: &mut Takeover| {
+            takeover.process_reported(call.life, &call.name, started_at, &self.tuning)
+        };
+        match self.takeover.as_mut().is_some_and(was_unreported) {
+            true => Registration::FromOlderCounter,
+            false => Registration::Current,
         }
     }
 
-    /// The processes of a machine.
-    fn lives_of(&self, name: &str) -> Vec<EarlierLife> {
-        let same = self.lives.iter().filter(|(_, life)| life.name == name);
-        same.map(|(number, life)| EarlierLife { number: *number, born: life.born, heard: life.heard })
+    /// The running processes of a machine, as far as known.
+    fn processes_of(&self, machine: &str) -> Vec<EarlierProcess> {
+        let of_machine = self.processes.iter().filter(|(_, process)| process.machine == machine);
+        of_machine
+            .map(|(process_id, process)| EarlierProcess {
+                process_id: *process_id,
+                started_at: process.started_at,
+                last_call_at: process.last_call_at,
+            })
             .collect()
     }
 
-    /// Takes over what the process reports.
-    fn record_report(&mut self, now: u64, call: &UnitsCall, first: bool) {
-        let Some(life) = self.lives.get_mut(&call.life) else { return };
-        let span_ms = self.tuning.span_ms();
-        for (tenant, told) in &call.tenants {
-            let Some(book) = self.books.get_mut(tenant) else { continue };
-            let lent = match life.lent.get_mut(tenant) {
-                Some(lent) => lent,
+    /// Records the loans that the process reports.
+    fn record_report(&mut self, now: u64, call: &UnitsCall, from_older_counter: bool) {
+        let Some(process) = self.processes.get_mut(&call.life) else { return };
+        let in_force_ms = self.tuning.in_force_ms();
+        for (tenant, report) in &call.tenants {
+            let Some(ledger) = self.ledgers.get_mut(tenant) else { continue };
+            let loan = match process.loans.get_mut(tenant) {
+                Some(loan) => loan,
                 None => {
-                    let lent = life.lent.entry(tenant.clone()).or_insert_with(|| Lent::new(&self.tuning));
-                    let most = self.tuning.boost_of(book.limit.cap);
-                    let boosted = if call.tells_boosted { told.boosted } else { most };
-                    lent.boosts.book(now, boosted.min(told.loan));
-                    if told.pace > told.loan {
-                        (lent.lift, lent.lift_until) = (told.pace, now + self.tuning.pace_floor_ms);
+                    let loan =
+                        process.loans.entry(tenant.clone()).or_insert_with(|| ProcessLoan::new(&self.tuning));
+                    let max_boost = self.tuning.max_boost(ledger.limit.cap);
+                    let boosted = if call.tells_boosted { report.boosted } else { max_boost };
+                    loan.boosts.add(now, boosted.min(report.loan));
+                    if report.pace > report.loan {
+                        (loan.pace_floor, loan.pace_floor_until) =
+                            (report.pace, now + self.tuning.pace_floor_ms);
                     }
-                    if let Some(takeover) = self.takeover.as_mut().filter(|_| first) {
-                        // What it spent before a limit was lowered is no part of what all may have under the new one.
-                        let loan = told.loan.saturating_sub(told.over);
-                        takeover.add_report(tenant, loan, told.pace.max(loan), told.least);
+                    if let Some(takeover) = self.takeover.as_mut().filter(|_| from_older_counter) {
+                        // Units that it spent before a limit was lowered are not part of what all processes may have
+                        // under the new limit.
+                        let reported_loan = report.loan.saturating_sub(report.over);
+                        takeover.add_report(
+                            tenant,
+                            reported_loan,
+                            report.pace.max(reported_loan),
+                            report.least,
+                        );
                     }
-                    lent
+                    loan
                 }
             };
-            let before = lent.pace(now);
-            book.out = book.out - lent.loan + told.loan;
-            lent.loan = told.loan;
-            book.count(now, call.life, lent);
-            let pace = lent.pace(now);
-            // What it spent under an older counter may have been at a higher pace.
-            lent.peak.note(now, span_ms, before.max(told.most), pace, u64::max);
+            let previous_pace = loan.pace(now);
+            ledger.lent = ledger.lent - loan.units + report.loan;
+            loan.units = report.loan;
+            ledger.update_pace(now, call.life, loan);
+            let pace = loan.pace(now);
+            // Under an older counter it may have spent at a higher pace.
+            loan.max_pace.record(now, in_force_ms, previous_pace.max(report.most), pace, u64::max);
         }
         for tenant in call.tenants.keys() {
-            self.settle_unused(now, tenant);
+            self.settle_unused_pace(now, tenant);
         }
     }
 
+    /// What the process is granted of a tenant; `None` if the gateway learns nothing new from a grant.
     fn grant(
         &mut self,
         now: u64,
-        number: u64,
+        process_id: u64,
         tenant: &str,
-        told: Option<&TenantUnits>,
+        report: Option<&TenantUnits>,
         gateways: u64,
     ) -> Option<TenantGrant> {
-        let Limit { cap, pace: most } = self.books.get(tenant)?.limit;
+        let Limit { cap, pace: max_pace } = self.ledgers.get(tenant)?.limit;
         let on_demand = self.tuning.lends_on_demand(cap, gateways);
-        // It gives back.
-        if on_demand && told.is_some_and(|told| told.want + told.boost == 0) {
+        // The gateway only returns units.
+        if on_demand && report.is_some_and(|report| report.want + report.boost == 0) {
             return None;
         }
         let used = self.used_now(now, tenant);
-        // The paces of all lives are within the tenant's at every moment.
-        let pace_left = most.saturating_sub(self.pace_now(now, tenant, most));
-        let lent = self.lives.get(&number)?.lent.get(tenant);
-        let (own_pace, own_loan) = lent.map_or((0, 0), |lent| (lent.pace(now), lent.loan));
+        // The paces of all processes together must never exceed the tenant's pace.
+        let pace_left = max_pace.saturating_sub(self.total_pace(now, tenant, max_pace));
+        let loan = self.processes.get(&process_id)?.loans.get(tenant);
+        let (own_pace, own_loan) = loan.map_or((0, 0), |loan| (loan.pace(now), loan.units));
         let room = (own_pace + pace_left).saturating_sub(own_loan);
         let remaining = cap.saturating_sub(used);
-        // At a first start the register learns of gateways one by one.
+        // At a first start gateways register one by one, so the number of them is too low at first.
         let share = match on_demand {
             true => 0,
-            false => (cap / (2 * gateways.max(FEW_GATEWAYS))).max(2),
+            false => (cap / (2 * gateways.max(MIN_ASSUMED_GATEWAYS))).max(2),
         };
-        let first = told.is_some_and(|told| told.first);
-        let (want, boost) = told.map_or((0, 0), |told| (told.want, told.boost));
+        let first = report.is_some_and(|report| report.first);
+        let (want, boost) = report.map_or((0, 0), |report| (report.want, report.boost));
         let free = remaining.min(room);
-        let plenty = free * 2 >= cap;
-        // Of what is plenty each may have its share: a rise finds it there.
-        let asked = if want > 0 && (first || plenty) { want.max(share) } else { want };
-        let half = if want <= 2 { free.min(want) } else { 0 }.max(free.div_ceil(2));
-        let Counter { tuning, lives, books, .. } = self;
-        let lent = lives.get_mut(&number)?.lent.entry(tenant.to_owned());
-        let lent = lent.or_insert_with(|| Lent::new(tuning));
-        let before = lent.pace(now);
-        let mut lift = 0;
-        let low = lent.loan < share && lent.lift_until < now + tuning.pace_floor_ms / 2;
-        if !on_demand && (first || (low && plenty)) {
-            // Units may come slowly at first, or before a rise not at all: the pace doesn't wait for them.
-            lift = share.min(before + pace_left);
-            (lent.lift, lent.lift_until) = (lift.max(before), now + tuning.pace_floor_ms);
-        }
-        let class = Self::remaining_class(remaining.min(room), cap);
-        // Not asked, and it knows of about as much: no word of it.
-        if told.is_none() && lift == 0 && lent.class_told == Some(class) {
+        let is_ample = free * 2 >= cap;
+        // While units are ample each process may have its share, so that it is there when traffic rises.
+        let requested = if want > 0 && (first || is_ample) { want.max(share) } else { want };
+        let max_grant = if want <= 2 { free.min(want) } else { 0 }.max(free.div_ceil(2));
+        let Counter { tuning, processes, ledgers, .. } = self;
+        let loan = processes.get_mut(&process_id)?.loans.entry(tenant.to_owned());
+        let loan = loan.or_insert_with(|| ProcessLoan::new(tuning));
+        let previous_pace = loan.pace(now);
+        let mut pace_floor = 0;
+        let is_low = loan.units < share && loan.pace_floor_until < now + tuning.pace_floor_ms / 2;
+        if !on_demand && (first || (is_low && is_ample)) {
+            // Units may be granted slowly at first, and before a rise in traffic not at all: the pace must not depend
+            // on them.
+            pace_floor = share.min(previous_pace + pace_left);
+            (loan.pace_floor, loan.pace_floor_until) =
+                (pace_floor.max(previous_pace), now + tuning.pace_floor_ms);
+        }
+        let class = Self::availability_class(remaining.min(room), cap);
+        // The gateway requests nothing and was last told of about the same availability.
+        if report.is_none() && pace_floor == 0 && loan.reported_class == Some(class) {
             return None;
         }
-        let granted = asked.min(half);
-        lent.loan += granted;
-        let book = books.get_mut(tenant)?;
-        book.out += granted;
-        book.count(now, number, lent);
-        let pace = lent.pace(now);
-        lent.peak.note(now, tuning.span_ms(), before, pace, u64::max);
-        lent.class_told = Some(Self::remaining_class((remaining - granted).min(room - granted), cap));
-        let allowed = book.unused.take(now, tuning, boost);
-        lent.boosts.age(now);
-        lent.boosts.book(now, allowed);
-        self.settle_unused(now, tenant);
+        let granted = requested.min(max_grant);
+        loan.units += granted;
+        let ledger = ledgers.get_mut(tenant)?;
+        ledger.lent += granted;
+        ledger.update_pace(now, process_id, loan);
+        let pace = loan.pace(now);
+        loan.max_pace.record(now, tuning.in_force_ms(), previous_pace, pace, u64::max);
+        loan.reported_class = Some(Self::availability_class((remaining - granted).min(room - granted), cap));
+        let granted_boost = ledger.unused.take(now, tuning, boost);
+        loan.boosts.expire(now);
+        loan.boosts.add(now, granted_boost);
+        self.settle_unused_pace(now, tenant);
         let (remaining, room) = (remaining - granted, room - granted);
         let room = (room < remaining).then_some(room);
-        Some(TenantGrant { granted, remaining, room, boost: allowed, lift })
+        Some(TenantGrant { granted, remaining, room, boost: granted_boost, lift: pace_floor })
     }
 
-    /// What remains, in coarse parts of the cap: as gateways size their batches by it.
-    fn remaining_class(remaining: u64, cap: u64) -> u64 {
+    /// The remaining units as a coarse fraction of the cap. Uses the same steps by which gateways size their batches.
+    fn availability_class(remaining: u64, cap: u64) -> u64 {
         match remaining {
             0 => 0,
             _ => 1 + [32, 16, 8, 4].iter().filter(|part| remaining * **part >= cap).count() as u64,
@@ -582,54 +630,63 @@
 
     const TENANTS: [&str; 3] = ["a", "b", "c"];
 
-    /// The sums of paces that are kept, and those added up anew.
+    /// For each tenant, the maintained sum of paces and the sum computed from all loans.
     fn sums(counter: &mut Counter, now: u64) -> [(u64, u64); 3] {
         TENANTS.map(|tenant| {
-            let kept = counter.pace_now(now, tenant, 0);
-            let lent = counter.lives.values().filter_map(|life| life.lent.get(tenant));
-            (kept, lent.map(|lent| lent.pace(now)).sum())
+            let maintained = counter.total_pace(now, tenant, 0);
+            let loans = counter.processes.values().filter_map(|process| process.loans.get(tenant));
+            (maintained, loans.map(|loan| loan.pace(now)).sum())
         })
     }
 
     #[test]
-    fn sums_of_paces_are_those_that_adding_up_gives() {
-        let log: BTreeMap<u64, String> = (0..6).map(|life| (life, format!("g-{life}"))).collect();
-        let all = |cap: u64| TENANTS.map(|name| (name.to_string(), Limit { cap, pace: cap })).into();
+    fn maintained_sums_of_paces_match_the_loans() {
+        let log: BTreeMap<u64, String> =
+            (0..6).map(|process_id| (process_id, format!("g-{process_id}"))).collect();
+        let limits = |cap: u64| TENANTS.map(|name| (name.to_string(), Limit { cap, pace: cap })).into();
         let mut counter = Counter::new(0, 1, Tuning::new(1_000), log);
-        // What a counter before may have lent is no part of either sum.
+        // What an older counter may have lent is not part of the compared sums.
         counter.takeover = None;
-        counter.set_limits(0, &all(400));
-        let (mut dice, mut now, mut lifted) = (fastrand::Rng::with_seed(7), 0, 0);
+        counter.set_limits(0, &limits(400));
+        let (mut rng, mut now, mut pace_floors) = (fastrand::Rng::with_seed(7), 0, 0);
         for seq in 1..4_000 {
-            // Long pauses end lives.
-            now += if dice.u32(..100) == 0 { 9_000 } else { dice.u64(..150) };
-            let life = dice.u64(..6);
-            let loan = |dice: &mut fastrand::Rng| dice.u64(..40);
-            let told = |dice: &mut fastrand::Rng| TenantUnits {
-                loan: loan(dice),
-                want: dice.u64(..20),
-                first: dice.u32(..8) == 0,
+            // Long pauses end processes.
+            now += if rng.u32(..100) == 0 { 9_000 } else { rng.u64(..150) };
+            let process_id = rng.u64(..6);
+            let loan = |rng: &mut fastrand::Rng| rng.u64(..40);
+            let report = |rng: &mut fastrand::Rng| TenantUnits {
+                loan: loan(rng),
+                want: rng.u64(..20),
+                first: rng.u32(..8) == 0,
                 ..TenantUnits::default()
             };
-            let named = TENANTS.iter().filter(|_| dice.bool()).collect::<Vec<_>>();
-            let tenants = named.into_iter().map(|name| (name.to_string(), told(&mut dice))).collect();
-            let (all_told, end) = (!counter.lives.contains_key(&life), dice.u32(..50) == 0);
-            let name = format!("g-{life}");
-            let call =
-                UnitsCall { life, seq, all: all_told, name, to: 1, end, tenants, ..UnitsCall::default() };
+            let named = TENANTS.iter().filter(|_| rng.bool()).collect::<Vec<_>>();
+            let tenants = named.into_iter().map(|name| (name.to_string(), report(&mut rng))).collect();
+            let (is_full_report, end) = (!counter.processes.contains_key(&process_id), rng.u32(..50) == 0);
+            let name = format!("g-{process_id}");
+            let call = UnitsCall {
+                life: process_id,
+                seq,
+                all: is_full_report,
+                name,
+                to: 1,
+                end,
+                tenants,
+                ..UnitsCall::default()
+            };
             let answer = counter.handle_call(now, &call, 6);
-            lifted += answer.tenants.values().filter(|grant| grant.lift > 0).count();
+            pace_floors += answer.tenants.values().filter(|grant| grant.lift > 0).count();
             if seq % 500 == 0 {
                 counter.set_limits(
                     now,
-                    &all(if seq % 1_000 == 0 { 400 } else { 0 }).into_iter().take(2).collect(),
+                    &limits(if seq % 1_000 == 0 { 400 } else { 0 }).into_iter().take(2).collect(),
                 );
-                counter.set_limits(now, &all(400));
+                counter.set_limits(now, &limits(400));
             }
-            for (kept, anew) in sums(&mut counter, now) {
-                assert_eq!(kept, anew, "after call {seq}");
+            for (maintained, computed) in sums(&mut counter, now) {
+                assert_eq!(maintained, computed, "after call {seq}");
             }
         }
-        assert!(lifted > 100, "{lifted} paces were lifted");
+        assert!(pace_floors > 100, "{pace_floors} pace floors were granted");
     }
 }
--- a/crates/quota/src/unused_pace.rs
+++ b/crates/quota/src/unused_pace.rs
@@ -1,50 +1,52 @@
-//! The part of a tenant's pace that no gateway has: it flows into one bucket at the counter, from which units are allowed
-//! beyond the gateways' own paces.
+//! The part of a tenant's pace that no gateway has. It fills one token bucket at the counter, from which gateways are
+//! granted units beyond their own paces.
 
-use crate::ring::Ring;
+use crate::sliding_sum::SlidingSum;
 use crate::tuning::Tuning;
 
-/// The bucket of one tenant. What it holds and what may still be on its way to gateways are together at most
-/// `Tuning::boost_of`, so that all gateways spend no more in any span than their own buckets, that many, and the tenant's pace
-/// over the span.
+/// The bucket of one tenant. Its content and the granted units that may not have reached their gateway yet are together
+/// at most `Tuning::max_boost`. Thus all gateways spend in any span at most the content of their own buckets, that
+/// maximum, and the tenant's pace over the span.
 #[derive(Debug, Clone)]
 pub(crate) struct UnusedPace {
-    /// Units held, times the ms of a window.
-    stored: u64,
-    /// Units a window that flow in since `settled`.
+    /// Content in units, multiplied by the window in ms.
+    scaled_units: u64,
+    /// Inflow since `settled_at`, units a window.
     rate: u64,
-    settled: u64,
-    /// Allowed units that may still be on their way.
-    under_way: Ring,
+    settled_at: u64,
+    /// Granted units that may not have reached their gateway yet.
+    in_flight: SlidingSum,
 }
 
 impl UnusedPace {
-    /// Of a counter that no other came before: full with `most` units.
-    pub(crate) fn full(now: u64, tuning: &Tuning, most: u64) -> UnusedPace {
-        UnusedPace { stored: most * tuning.window_ms, ..UnusedPace::empty(now, tuning) }
+    /// The full bucket, with `max` units, of a counter without a predecessor.
+    pub(crate) fn full(now: u64, tuning: &Tuning, max: u64) -> UnusedPace {
+        UnusedPace { scaled_units: max * tuning.window_ms, ..UnusedPace::empty(now, tuning) }
     }
 
-    /// Into which nothing flows before `from`.
+    /// An empty bucket without inflow before `from`.
     pub(crate) fn empty(from: u64, tuning: &Tuning) -> UnusedPace {
-        let under_way = Ring::new(tuning.slot_ms, tuning.max_boost_answer_ms);
-        UnusedPace { stored: 0, rate: 0, settled: from, under_way }
+        let in_flight = SlidingSum::new(tuning.slot_ms, tuning.max_boost_answer_ms);
+        UnusedPace { scaled_units: 0, rate: 0, settled_at: from, in_flight }
     }
 
-    /// Lets time pass; from `now` on `rate` units a window flow in. To be called at each rise of the gateways' paces.
-    pub(crate) fn settle(&mut self, now: u64, tuning: &Tuning, most: u64, rate: u64) {
-        self.under_way.age(now);
-        let room = most.saturating_sub(self.under_way.sum()) * tuning.window_ms;
-        let came = self.rate * now.saturating_sub(self.settled);
-        self.stored = (self.stored + came).min(room);
-        self.settled = now.max(self.settled);
+    /// Adds the inflow until `now` and sets the inflow from then on to `rate` units a window. Must be called whenever
+    /// the gateways' paces rise.
+    pub(crate) fn settle(&mut self, now: u64, tuning: &Tuning, max: u64, rate: u64) {
+        self.in_flight.expire(now);
+        let capacity = max.saturating_sub(self.in_flight.sum()) * tuning.window_ms;
+        let inflow = self.rate * now.saturating_sub(self.settled_at);
+        self.scaled_units = (self.scaled_units + inflow).min(capacity);
+        self.settled_at = now.max(self.settled_at);
         self.rate = rate;
     }
 
-    /// Takes up to `asked` of the whole units held, half of them at most, rounded up: others may ask, too.
-    pub(crate) fn take(&mut self, now: u64, tuning: &Tuning, asked: u64) -> u64 {
-        let units = asked.min((self.stored / tuning.window_ms).div_ceil(2));
-        self.stored -= units * tuning.window_ms;
-        self.under_way.book(now, units);
+    /// Takes up to `requested` whole units, but at most half of the content, rounded up, as other gateways may request
+    /// some, too.
+    pub(crate) fn take(&mut self, now: u64, tuning: &Tuning, requested: u64) -> u64 {
+        let units = requested.min((self.scaled_units / tuning.window_ms).div_ceil(2));
+        self.scaled_units -= units * tuning.window_ms;
+        self.in_flight.add(now, units);
         units
     }
 }
