--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -594,7 +594,7 @@
                 (pace_floor.max(previous_pace), now + tuning.pace_floor_ms);
         }
         let class = Self::availability_class(remaining.min(room), cap);
-        // The gateway requests nothing and was last told of about the same availability.
+        // The gateway requests nothing and already knows about the same availability.
         if report.is_none() && pace_floor == 0 && loan.reported_class == Some(class) {
             return None;
         }
--- a/crates/quota/tests/grown.rs
+++ b/crates/quota/tests/grown.rs
@@ -1,110 +1,111 @@
-//! 85 gateways before 24 tenants of very different sizes, most of them small: what is refused within the limit, calm and after
-//! losses.
+//! 85 gateways and 24 tenants of very different sizes, most of them small: share of requests within the limit that is
+//! refused, without faults and after gateways are lost.
 
-mod world;
+mod simulation;
 
 use nickeljunction_quota::Limit;
-use world::World;
+use simulation::Simulation;
 
 const GATEWAYS: usize = 85;
-/// Requests a second of the tenants; each has a limit of 1.6 times that, and a burst of a second.
-const USUAL: [f64; 24] = [
+/// Requests a second of each tenant. Its limit is 1.6 times that, with a burst of one second.
+const USUAL_RATES: [f64; 24] = [
     170.0, 72.0, 47.0, 36.0, 29.0, 25.0, 22.0, 20.0, 18.0, 16.0, 15.0, 14.0, 13.0, 12.5, 12.0, 11.5, 11.0,
     10.5, 10.0, 10.0, 9.5, 9.5, 9.0, 9.0,
 ];
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// Most that may be refused within the limit, share of the requests.
-const WITHIN_LIMIT: f64 = 0.005;
-/// Most that gateways which are restarted soon after a loss may cost, share of the requests.
-const ROLLED_MOST: f64 = 0.05;
+/// Maximum share of requests within the limit that may be refused.
+const MAX_REFUSED: f64 = 0.005;
+/// Maximum share of requests that may be refused while gateways are restarted soon after a loss.
+const MAX_REFUSED_DURING_RESTARTS: f64 = 0.05;
 
-/// In service for 12 s.
-fn grown(seed: u64) -> World {
+/// A fleet that has been in service for 12 s.
+fn running_fleet(seed: u64) -> Simulation {
     let limit = |usual: f64| {
         (Limit::with_default_margin(usual * 1.6, usual * 1.6, 5.0, 0.1, 20.0).expect("a limit"), usual)
     };
-    let mut world = World::new(seed, GATEWAYS, &USUAL.map(limit));
-    // Regions are apart.
-    world.delay = (1, 40);
-    world.run(12_000);
-    world
+    let mut sim = Simulation::new(seed, GATEWAYS, &USUAL_RATES.map(limit));
+    // Gateways and counter are in different regions.
+    sim.delay = (1, 40);
+    sim.run(12_000);
+    sim
 }
 
-/// Share of all requests refused in the next so many ms.
-fn refused_over(world: &mut World, ms: u64) -> f64 {
-    world.reset_luck();
-    world.run(ms);
-    refused(world)
+/// Share of all requests refused during the next `ms`.
+fn refused_over(sim: &mut Simulation, ms: u64) -> f64 {
+    sim.reset_stats();
+    sim.run(ms);
+    refused(sim)
 }
 
-fn refused(world: &World) -> f64 {
-    let (refused, asked) = world.tenants.iter().fold((0, 0), |sum, t| (sum.0 + t.refused, sum.1 + t.asked));
-    refused as f64 / asked.max(1) as f64
+fn refused(sim: &Simulation) -> f64 {
+    let (refused, requested) =
+        sim.tenants.iter().fold((0, 0), |sum, t| (sum.0 + t.refused, sum.1 + t.requested));
+    refused as f64 / requested.max(1) as f64
 }
 
-/// The same by windows of 2 s.
-fn by_window(world: &mut World, windows: usize) -> Vec<f64> {
-    (0..windows).map(|_| refused_over(world, 2_000)).collect()
+/// Share of all requests refused in each of the next windows of 2 s.
+fn refused_by_window(sim: &mut Simulation, windows: usize) -> Vec<f64> {
+    (0..windows).map(|_| refused_over(sim, 2_000)).collect()
 }
 
-fn shown(shares: &[f64]) -> String {
+fn formatted(shares: &[f64]) -> String {
     shares.iter().map(|share| format!("{share:.3}")).collect::<Vec<_>>().join(" ")
 }
 
-/// What is lent in sum is bounded by the tenants' paces as well as by their caps: gateways that are told only of the cap's room
-/// hold on to units that others can't be lent.
+/// The sum of all loans is bounded by a tenant's pace as well as by its cap. Gateways that know only what remains of
+/// the cap keep idle units that can then not be lent to others.
 #[test]
-fn units_that_nobody_needs_are_not_missing_at_other_gateways() {
+fn idle_units_are_returned_for_other_gateways() {
     for seed in SEEDS {
-        let mut world = grown(seed);
-        world.reset_luck();
-        let refused = refused_over(&mut world, 10_000);
-        println!("seed {seed}: refused {refused:.4}, {:.0} calls/s", world.calls as f64 / 10.0);
-        assert!(refused < WITHIN_LIMIT, "seed {seed}: {refused}");
-        assert!(world.calls < 6_000, "seed {seed}: {} calls in 10 s", world.calls);
-        world.check("calm");
+        let mut sim = running_fleet(seed);
+        sim.reset_stats();
+        let refused = refused_over(&mut sim, 10_000);
+        println!("seed {seed}: refused {refused:.4}, {:.0} calls/s", sim.calls as f64 / 10.0);
+        assert!(refused < MAX_REFUSED, "seed {seed}: {refused}");
+        assert!(sim.calls < 6_000, "seed {seed}: {} calls in 10 s", sim.calls);
+        sim.check_caps("no faults");
     }
 }
 
 #[test]
-fn most_gateways_lost_and_back_are_made_good_for_in_two_windows() {
+fn refusals_end_two_windows_after_most_gateways_restart() {
     for seed in SEEDS {
-        let mut world = grown(seed);
-        (0..60).for_each(|number| world.kill(number));
-        world.run(1_500);
-        (0..60).for_each(|number| world.restart(number));
-        let windows = by_window(&mut world, 6);
-        println!("seed {seed}: refused after 60 of {GATEWAYS} were lost {}", shown(&windows));
-        let late = windows[3..].iter().sum::<f64>() / 3.0;
-        assert!(late < WITHIN_LIMIT, "seed {seed}: {late}");
-        world.check("most lost");
+        let mut sim = running_fleet(seed);
+        (0..60).for_each(|gateway| sim.kill(gateway));
+        sim.run(1_500);
+        (0..60).for_each(|gateway| sim.restart(gateway));
+        let windows = refused_by_window(&mut sim, 6);
+        println!("seed {seed}: refused after 60 of {GATEWAYS} were lost {}", formatted(&windows));
+        let later = windows[3..].iter().sum::<f64>() / 3.0;
+        assert!(later < MAX_REFUSED, "seed {seed}: {later}");
+        sim.check_caps("most gateways lost");
     }
 }
 
-/// See incident 019.
+/// Guards against incident 019.
 #[test]
-fn gateways_that_restart_soon_after_all_was_lost_cost_little() {
+fn restarts_soon_after_a_total_loss_refuse_few_requests() {
     for seed in SEEDS {
-        let mut world = grown(seed);
-        world.lose_counter();
-        (0..GATEWAYS).for_each(|number| world.kill(number));
-        world.run(5_000);
-        (0..GATEWAYS).for_each(|number| world.restart(number));
-        world.run(300);
-        world.succeed();
-        let back = by_window(&mut world, 2);
-        world.run(1_200);
-        world.reset_luck();
-        for number in 0..30 {
-            world.restart(number);
-            world.run(250);
+        let mut sim = running_fleet(seed);
+        sim.lose_counter();
+        (0..GATEWAYS).for_each(|gateway| sim.kill(gateway));
+        sim.run(5_000);
+        (0..GATEWAYS).for_each(|gateway| sim.restart(gateway));
+        sim.run(300);
+        sim.start_new_counter();
+        let after_loss = refused_by_window(&mut sim, 2);
+        sim.run(1_200);
+        sim.reset_stats();
+        for gateway in 0..30 {
+            sim.restart(gateway);
+            sim.run(250);
         }
-        let rolled = refused(&world);
+        let during_restarts = refused(&sim);
         println!(
-            "seed {seed}: refused {} after all was lost, {rolled:.3} while 30 are restarted",
-            shown(&back)
+            "seed {seed}: refused {} after a total loss, {during_restarts:.3} while 30 are restarted",
+            formatted(&after_loss)
         );
-        assert!(rolled < ROLLED_MOST, "seed {seed}: {rolled}");
-        world.check("all lost");
+        assert!(during_restarts < MAX_REFUSED_DURING_RESTARTS, "seed {seed}: {during_restarts}");
+        sim.check_caps("total loss");
     }
 }
--- a/crates/quota/tests/units_model.rs
+++ b/crates/quota/tests/units_model.rs
@@ -1,9 +1,9 @@
-//! A small world of the true [`Counter`] and [`Allowance`], step by step in every order: two gateways and one tenant with a
-//! cap of four units. Calls and answers are lost, late, doubled and overtaken, gateways freeze (they just do nothing
-//! while time goes on), are killed and come back as new lives, and counters follow each other.
+//! Model check of the real [`Counter`] and [`Allowance`] with two gateways and one tenant with a cap of four units,
+//! in all orders of steps. Calls and answers are lost, delayed, duplicated and overtaken; gateways freeze (do nothing
+//! while time passes), are killed and restart as new processes; counters replace each other.
 //!
-//! What can't make a difference to the rule is left out: a gateway spends all that it may at once, and an answer that
-//! comes in time comes at once.
+//! Cases that cannot affect the invariant are left out: a gateway spends all that it may at once, and an answer that
+//! arrives in time arrives at once.
 
 use nickeljunction_messages::{UnitsAnswer, UnitsCall};
 use nickeljunction_quota::{Allowance, Boost, BucketDepth, Counter, Guard, Limit, Spend, Tuning};
@@ -13,13 +13,13 @@
 use std::hash::{Hash, Hasher};
 
 const CAP: u64 = 4;
-const LOWERED: u64 = 2;
+const LOWERED_CAP: u64 = 2;
 const STEP_MS: u64 = 100;
 const WINDOW_MS: u64 = 3 * STEP_MS;
-/// Calls that are kept on the way, of each gateway, to come late or once more.
-const LATE: usize = 2;
+/// Maximum number of calls in flight of each gateway, which may arrive late or twice.
+const MAX_DELAYED_CALLS: usize = 2;
 
-/// Two steps of life, three of window; no time to write, and a call a step.
+/// The lease is two steps and the window three; requests are written at once, and a gateway may call in each step.
 fn tuning() -> Tuning {
     Tuning {
         window_ms: WINDOW_MS,
@@ -36,7 +36,7 @@
         fetch_interval_ms: STEP_MS,
         urgent_fetch_interval_ms: STEP_MS,
         exhausted_fetch_interval_ms: STEP_MS,
-        // Units are lent ahead of need, too: the wider case.
+        // Units are lent ahead of need, which allows more behaviours than lending on demand.
         on_demand_cap_per_gateway: 0,
         ..Tuning::new(WINDOW_MS)
     }
@@ -47,33 +47,33 @@
 }
 
 #[derive(Debug, Clone)]
-struct World {
+struct State {
     now: u64,
     term: u64,
     counter: Counter,
     allowances: Vec<Allowance>,
-    lives: [u64; 2],
-    /// The last gateway that acted in this step: the one before it does so no more.
+    process_ids: [u64; 2],
+    /// The last gateway that acted in this tick: gateways before it do not act any more.
     turn: usize,
-    /// A request waits at the gateway.
-    waits: [bool; 2],
+    /// Whether a request waits at the gateway.
+    has_waiting: [bool; 2],
     log: BTreeMap<u64, String>,
-    /// Calls that came nowhere yet, or came and may come once more: from whom.
+    /// Calls in flight with their gateway; a call that has arrived stays here, as it may arrive again.
     calls: Vec<(usize, UnitsCall)>,
-    /// Answers that have not come yet; to which life.
+    /// Answers in flight, with the process that they are for.
     answers: Vec<(u64, UnitsAnswer)>,
     /// When units were spent in the last window.
     sent: Vec<u64>,
-    /// The gateways, and last the counter, that know the lower limit.
+    /// Whether the gateways and (last) the counter know the lowered limit.
     lowered: [bool; 3],
-    /// When the last of them learned of it.
-    all_lowered: Option<u64>,
+    /// When the last of them received the lowered limit.
+    all_lowered_at: Option<u64>,
     kills: u8,
-    successors: u8,
+    replacements: u8,
 }
 
-impl Hash for World {
-    fn hash<H: Hasher>(&self, state: &mut H) {
+impl Hash for State {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
         struct Sink<'a, H>(&'a mut H);
         impl<H: Hasher> Write for Sink<'_, H> {
             fn write_str(&mut self, text: &str) -> std::fmt::Result {
@@ -81,309 +81,326 @@
                 Ok(())
             }
         }
-        let _ = write!(Sink(state), "{self:?}");
+        let _ = write!(Sink(hasher), "{self:?}");
     }
 }
 
-impl PartialEq for World {
-    fn eq(&self, other: &World) -> bool {
+impl PartialEq for State {
+    fn eq(&self, other: &State) -> bool {
         format!("{self:?}") == format!("{other:?}")
     }
 }
 
-impl World {
+impl State {
     fn answer(&mut self, call: &UnitsCall) -> UnitsAnswer {
-        if let Some(roll) = self.counter.enrollment_for(self.now, call) {
-            self.log.extend(roll.added);
+        if let Some(change) = self.counter.enrollment_for(self.now, call) {
+            self.log.extend(change.added);
             self.counter.set_logged_processes(&self.log);
             self.counter.enrollment_committed(call.life);
         }
         self.counter.handle_call(self.now, call, 2)
     }
 
-    /// Most units that a window that ends now may have.
+    /// Maximum units that may be spent in the window that ends now.
     fn cap(&self) -> u64 {
-        match self.all_lowered {
-            Some(at) if self.now >= at + WINDOW_MS => LOWERED,
+        match self.all_lowered_at {
+            Some(lowered_at) if self.now >= lowered_at + WINDOW_MS => LOWERED_CAP,
             _ => CAP,
         }
     }
 
-    /// Units that may be spent now, were it not for the pace.
+    /// Units that the gateways may spend, apart from their pace.
     fn held(&self) -> u64 {
         self.allowances.iter().map(|allowance| allowance.clone().held(self.now, "t")).sum()
     }
 
-    /// A life that has units, and that a new counter would not know of.
-    fn unlisted(&self) -> bool {
+    /// Whether a process has units but is not in the log, so that a new counter would not know of it.
+    fn has_unlogged_process(&self) -> bool {
         let mut allowances = self.allowances.clone();
-        (0..2).any(|to| allowances[to].held(self.now, "t") > 0 && !self.log.contains_key(&self.lives[to]))
+        (0..2).any(|gateway| {
+            allowances[gateway].held(self.now, "t") > 0 && !self.log.contains_key(&self.process_ids[gateway])
+        })
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Act {
+enum Step {
+    /// Time advances by `STEP_MS`.
     Tick,
-    /// A gateway spends all that it may.
+    /// A gateway spends all units that it may.
     Spend(usize),
     /// A gateway calls and is answered at once.
     Exchange(usize),
-    /// A gateway calls.
+    /// A gateway sends a call.
     Call(usize),
-    /// A call arrives, for the first time or once more.
+    /// A call arrives at the counter, for the first time or again.
     Arrive(usize),
-    /// An answer comes.
+    /// An answer arrives.
     Answer(usize),
-    /// A gateway gives its call up.
+    /// A call of a gateway times out.
     Fail(usize),
-    /// A gateway is killed, and is back at once.
+    /// A gateway is killed and restarts at once.
     Kill(usize),
-    /// Another counter leads.
-    Succeed,
-    /// The log is rid of lives that have nothing in force.
-    Clean,
-    /// A gateway, or (2) the counter, learns of the lower limit.
+    /// A new counter replaces the current one.
+    ReplaceCounter,
+    /// Processes without units in force are removed from the log.
+    CleanLog,
+    /// A gateway (0 or 1) or the counter (2) receives the lowered limit.
     Lower(usize),
 }
 
 #[derive(Debug, Clone)]
-struct Rule {
+struct FleetModel {
     tuning: Tuning,
-    gateways: Tuning,
-    steps: u64,
+    gateway_tuning: Tuning,
+    /// Maximum number of ticks, kills and counter replacements.
+    ticks: u64,
     kills: u8,
-    successors: u8,
-    /// Requests wait, for units beyond the pace.
-    waits: bool,
-    /// Calls and answers come late.
-    late: bool,
-    lower: bool,
-    /// A new counter has no list of lives.
-    forgetful: bool,
+    replacements: u8,
+    /// Requests wait for units beyond the pace.
+    requests_wait: bool,
+    /// Calls and answers may be lost, delayed and duplicated.
+    delays: bool,
+    /// The limit is lowered.
+    lowers_limit: bool,
+    /// A new counter starts without the list of processes.
+    new_counter_ignores_log: bool,
 }
 
-impl Rule {
-    fn new() -> Rule {
-        Rule {
+impl FleetModel {
+    fn new() -> FleetModel {
+        FleetModel {
             tuning: tuning(),
-            gateways: tuning(),
-            steps: 4,
+            gateway_tuning: tuning(),
+            ticks: 4,
             kills: 0,
-            successors: 0,
-            waits: false,
-            late: false,
-            lower: false,
-            forgetful: false,
+            replacements: 0,
+            requests_wait: false,
+            delays: false,
+            lowers_limit: false,
+            new_counter_ignores_log: false,
         }
     }
 
-    fn allowance(&self, now: u64, to: usize, life: u64, world_term: u64) -> Allowance {
-        let mut allowance = Allowance::new(now, format!("g{to}"), life, self.gateways.clone());
+    fn allowance(&self, now: u64, gateway: usize, process_id: u64, term: u64) -> Allowance {
+        let mut allowance =
+            Allowance::new(now, format!("g{gateway}"), process_id, self.gateway_tuning.clone());
         allowance.set_limits(now, &limits(CAP));
-        allowance.leader_changed(now, world_term);
+        allowance.leader_changed(now, term);
         allowance
     }
 }
 
-impl Model for Rule {
-    type State = World;
-    type Action = Act;
+impl Model for FleetModel {
+    type State = State;
+    type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<State> {
         let now = 10 * STEP_MS;
         let mut counter = Counter::new(now, 1, self.tuning.clone(), BTreeMap::new());
         counter.set_limits(now, &limits(CAP));
-        vec![World {
+        vec![State {
             now,
             term: 1,
             counter,
-            allowances: (0..2).map(|to| self.allowance(now, to, to as u64, 1)).collect(),
-            lives: [0, 1],
+            allowances: (0..2).map(|gateway| self.allowance(now, gateway, gateway as u64, 1)).collect(),
+            process_ids: [0, 1],
             turn: 0,
-            waits: [false; 2],
+            has_waiting: [false; 2],
             log: BTreeMap::new(),
             calls: Vec::new(),
             answers: Vec::new(),
             sent: Vec::new(),
             lowered: [false; 3],
-            all_lowered: None,
+            all_lowered_at: None,
             kills: 0,
-            successors: 0,
+            replacements: 0,
         }]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        if world.now < (10 + self.steps) * STEP_MS {
-            acts.push(Act::Tick);
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.now < (10 + self.ticks) * STEP_MS {
+            steps.push(Step::Tick);
         }
-        for to in world.turn..2 {
-            acts.extend([Act::Spend(to), Act::Exchange(to)]);
-            if self.late {
-                acts.extend([Act::Call(to), Act::Fail(to)]);
+        for gateway in state.turn..2 {
+            steps.extend([Step::Spend(gateway), Step::Exchange(gateway)]);
+            if self.delays {
+                steps.extend([Step::Call(gateway), Step::Fail(gateway)]);
             }
-            if world.kills < self.kills {
-                acts.push(Act::Kill(to));
+            if state.kills < self.kills {
+                steps.push(Step::Kill(gateway));
             }
         }
-        if self.late {
-            acts.extend((0..world.calls.len()).map(Act::Arrive));
-            acts.extend((0..world.answers.len()).map(Act::Answer));
+        if self.delays {
+            steps.extend((0..state.calls.len()).map(Step::Arrive));
+            steps.extend((0..state.answers.len()).map(Step::Answer));
         }
-        if world.successors < self.successors {
-            acts.push(Act::Succeed);
+        if state.replacements < self.replacements {
+            steps.push(Step::ReplaceCounter);
         }
         if self.kills > 0 {
-            acts.push(Act::Clean);
+            steps.push(Step::CleanLog);
         }
-        if self.lower {
-            // The counter's machine has agreed on it before a gateway hears of it.
-            let known = |who: &usize| *who == 2 || world.lowered[2];
-            acts.extend((0..3).filter(known).filter(|who| !world.lowered[*who]).map(Act::Lower));
+        if self.lowers_limit {
+            // The configuration is committed at the counter before a gateway receives it.
+            let may_receive = |member: &usize| *member == 2 || state.lowered[2];
+            steps
+                .extend((0..3).filter(may_receive).filter(|member| !state.lowered[*member]).map(Step::Lower));
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = last.clone();
-        let now = world.now;
-        if let Act::Spend(to) | Act::Exchange(to) | Act::Call(to) | Act::Fail(to) | Act::Kill(to) = act {
-            world.turn = to;
+    fn next_state(&self, last: &State, step: Step) -> Option<State> {
+        let mut state = last.clone();
+        let now = state.now;
+        if let Step::Spend(gateway)
+        | Step::Exchange(gateway)
+        | Step::Call(gateway)
+        | Step::Fail(gateway)
+        | Step::Kill(gateway) = step
+        {
+            state.turn = gateway;
         }
-        match act {
-            Act::Tick => {
-                world.now += STEP_MS;
-                world.turn = 0;
-                let now = world.now;
-                world.sent.retain(|at| at + WINDOW_MS > now);
+        match step {
+            Step::Tick => {
+                state.now += STEP_MS;
+                state.turn = 0;
+                let now = state.now;
+                state.sent.retain(|sent_at| sent_at + WINDOW_MS > now);
             }
-            Act::Spend(to) => {
-                let before = world.sent.len();
-                while let Spend::Done { from, .. } = world.allowances[to].spend(now, "t") {
-                    world.sent.push(from);
+            Step::Spend(gateway) => {
+                let before = state.sent.len();
+                while let Spend::Done { from, .. } = state.allowances[gateway].spend(now, "t") {
+                    state.sent.push(from);
                 }
-                // More who wait ask for more than the cap has.
-                if world.sent.len() == before && (last.waits[to] || !self.waits) {
+                // Further waiting requests would only request more units than the cap has.
+                if state.sent.len() == before && (last.has_waiting[gateway] || !self.requests_wait) {
                     return None;
                 }
-                world.waits[to] = true;
+                state.has_waiting[gateway] = true;
             }
-            Act::Exchange(to) => {
-                let call = world.allowances[to].poll(now)?;
-                let answer = world.answer(&call);
-                world.allowances[to].answered(now, &answer);
-                world.waits[to] = false;
+            Step::Exchange(gateway) => {
+                let call = state.allowances[gateway].poll(now)?;
+                let answer = state.answer(&call);
+                state.allowances[gateway].answered(now, &answer);
+                state.has_waiting[gateway] = false;
             }
-            Act::Call(to) => {
-                let call = world.allowances[to].poll(now)?;
-                let own = world.calls.iter().filter(|(from, _)| *from == to).count();
-                if own == LATE {
-                    let oldest = world.calls.iter().position(|(from, _)| *from == to)?;
-                    world.calls.remove(oldest);
+            Step::Call(gateway) => {
+                let call = state.allowances[gateway].poll(now)?;
+                let own = state.calls.iter().filter(|(from, _)| *from == gateway).count();
+                if own == MAX_DELAYED_CALLS {
+                    let oldest = state.calls.iter().position(|(from, _)| *from == gateway)?;
+                    state.calls.remove(oldest);
                 }
-                world.calls.push((to, call));
+                state.calls.push((gateway, call));
             }
-            Act::Arrive(number) => {
-                let (_, call) = world.calls[number].clone();
-                let answer = world.answer(&call);
-                world.answers.retain(|(life, _)| *life != call.life);
-                world.answers.push((call.life, answer));
+            Step::Arrive(number) => {
+                let (_, call) = state.calls[number].clone();
+                let answer = state.answer(&call);
+                state.answers.retain(|(process_id, _)| *process_id != call.life);
+                state.answers.push((call.life, answer));
             }
-            Act::Answer(number) => {
-                let (life, answer) = world.answers.remove(number);
-                let to = world.lives.iter().position(|own| *own == life)?;
-                world.allowances[to].answered(now, &answer);
-                world.waits[to] = false;
+            Step::Answer(number) => {
+                let (process_id, answer) = state.answers.remove(number);
+                let gateway = state.process_ids.iter().position(|own| *own == process_id)?;
+                state.allowances[gateway].answered(now, &answer);
+                state.has_waiting[gateway] = false;
             }
-            Act::Fail(to) => {
-                if world.allowances[to].next_wake().is_some() {
+            Step::Fail(gateway) => {
+                if state.allowances[gateway].next_wake().is_some() {
                     return None;
                 }
-                world.allowances[to].failed(now);
+                state.allowances[gateway].failed(now);
             }
-            Act::Kill(to) => {
-                world.kills += 1;
-                world.lives[to] += 2;
-                world.waits[to] = false;
-                // Its last words have come, or are lost: see `lib.rs`.
-                world.calls.retain(|(from, _)| *from != to);
-                world.allowances[to] = self.allowance(now, to, world.lives[to], world.term);
-                if world.lowered[to] {
-                    world.allowances[to].set_limits(now, &limits(LOWERED));
+            Step::Kill(gateway) => {
+                state.kills += 1;
+                state.process_ids[gateway] += 2;
+                state.has_waiting[gateway] = false;
+                // The calls of the killed process have arrived or are lost: see `lib.rs`.
+                state.calls.retain(|(from, _)| *from != gateway);
+                state.allowances[gateway] =
+                    self.allowance(now, gateway, state.process_ids[gateway], state.term);
+                if state.lowered[gateway] {
+                    state.allowances[gateway].set_limits(now, &limits(LOWERED_CAP));
                 }
             }
-            Act::Succeed => {
-                world.successors += 1;
-                world.term += 1;
-                let log = if self.forgetful { BTreeMap::new() } else { world.log.clone() };
-                world.counter = Counter::new(now, world.term, self.tuning.clone(), log);
-                world.counter.set_limits(now, &limits(if world.lowered[2] { LOWERED } else { CAP }));
+            Step::ReplaceCounter => {
+                state.replacements += 1;
+                state.term += 1;
+                let log = if self.new_counter_ignores_log { BTreeMap::new() } else { state.log.clone() };
+                state.counter = Counter::new(now, state.term, self.tuning.clone(), log);
+                state.counter.set_limits(now, &limits(if state.lowered[2] { LOWERED_CAP } else { CAP }));
             }
-            Act::Clean => {
-                let gone = world.counter.removable_processes(now)?.removed;
-                world.log.retain(|life, _| !gone.contains(life));
-                world.counter.set_logged_processes(&world.log);
+            Step::CleanLog => {
+                let removed = state.counter.removable_processes(now)?.removed;
+                state.log.retain(|process_id, _| !removed.contains(process_id));
+                state.counter.set_logged_processes(&state.log);
             }
-            Act::Lower(who) => {
-                world.lowered[who] = true;
-                match who {
-                    2 => world.counter.set_limits(now, &limits(LOWERED)),
-                    to => world.allowances[to].set_limits(now, &limits(LOWERED)),
+            Step::Lower(member) => {
+                state.lowered[member] = true;
+                match member {
+                    2 => state.counter.set_limits(now, &limits(LOWERED_CAP)),
+                    gateway => state.allowances[gateway].set_limits(now, &limits(LOWERED_CAP)),
                 }
-                if world.lowered.iter().all(|known| *known) {
-                    world.all_lowered = Some(now);
+                if state.lowered.iter().all(|lowered| *lowered) {
+                    state.all_lowered_at = Some(now);
                 }
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no window has more than the cap", |_: &Rule, world: &World| {
-                world.sent.len() as u64 <= world.cap()
-            }),
             Property::always(
-                "what is spent and may be spent is within the cap",
-                |_: &Rule, world: &World| world.lowered[2] || world.sent.len() as u64 + world.held() <= CAP,
+                "units spent in a window are within the cap",
+                |_: &FleetModel, state: &State| state.sent.len() as u64 <= state.cap(),
             ),
-            Property::always("a life that has units is on the log", |_: &Rule, world: &World| {
-                !world.unlisted()
+            Property::always("units spent and held are within the cap", |_: &FleetModel, state: &State| {
+                state.lowered[2] || state.sent.len() as u64 + state.held() <= CAP
+            }),
+            Property::always("a process that has units is in the log", |_: &FleetModel, state: &State| {
+                !state.has_unlogged_process()
             }),
-            Property::sometimes("the whole cap is spent in a window", |_: &Rule, world: &World| {
-                world.sent.len() as u64 == CAP
+            Property::sometimes("the whole cap is spent in a window", |_: &FleetModel, state: &State| {
+                state.sent.len() as u64 == CAP
             }),
         ]
     }
 }
 
-/// Everything, in every order, up to `acts` acts.
-fn all(rule: Rule, acts: usize) -> BTreeSet<&'static str> {
-    let checker = rule.clone().checker().threads(3).target_max_depth(acts).spawn_bfs().join();
+/// Explores all orders of up to `steps` steps and checks the invariants. Returns the properties with a discovery.
+fn check_all_orders(model: FleetModel, steps: usize) -> BTreeSet<&'static str> {
+    let checker = model.clone().checker().threads(3).target_max_depth(steps).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     let found: BTreeSet<&str> = checker.discoveries().into_keys().collect();
-    for property in rule.properties().iter().filter(|rule| matches!(rule.expectation, Expectation::Always)) {
+    for property in
+        model.properties().iter().filter(|property| matches!(property.expectation, Expectation::Always))
+    {
         assert!(!found.contains(property.name), "{:?}", checker.discovery(property.name));
     }
     found
 }
 
-/// Long ways by chance, `ways` of them from `seed` on: where one breaks the rule, what it broke and the acts that led there.
-fn found(rule: &Rule, seed: u64, ways: u64) -> Option<(&'static str, Vec<Act>)> {
-    let properties = rule.properties();
-    let always = || properties.iter().filter(|rule| matches!(rule.expectation, Expectation::Always));
-    for seed in seed..seed + ways {
+/// Checks `runs` random sequences of steps, with seeds from `seed` on. Returns the first invariant that is violated and
+/// the steps that led there.
+fn find_violation(model: &FleetModel, seed: u64, runs: u64) -> Option<(&'static str, Vec<Step>)> {
+    let properties = model.properties();
+    let invariants =
+        || properties.iter().filter(|property| matches!(property.expectation, Expectation::Always));
+    for seed in seed..seed + runs {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut world = rule.init_states().remove(0);
-        let (mut done, mut acts) = (Vec::new(), Vec::new());
-        for _ in 0..rule.steps * 12 {
-            acts.clear();
-            rule.actions(&world, &mut acts);
-            let act = acts.swap_remove(rng.usize(..acts.len()));
-            let Some(next) = rule.next_state(&world, act.clone()) else { continue };
-            world = next;
-            done.push(act);
-            if let Some(broken) = always().find(|property| !(property.condition)(rule, &world)) {
-                println!("seed {seed}: {}, after {done:?}", broken.name);
-                return Some((broken.name, done));
+        let mut state = model.init_states().remove(0);
+        let (mut done, mut steps) = (Vec::new(), Vec::new());
+        for _ in 0..model.ticks * 12 {
+            steps.clear();
+            model.actions(&state, &mut steps);
+            let step = steps.swap_remove(rng.usize(..steps.len()));
+            let Some(next) = model.next_state(&state, step.clone()) else { continue };
+            state = next;
+            done.push(step);
+            if let Some(violated) = invariants().find(|property| !(property.condition)(model, &state)) {
+                println!("seed {seed}: {}, after {done:?}", violated.name);
+                return Some((violated.name, done));
             }
         }
     }
@@ -391,126 +408,191 @@
 }
 
 #[test]
-fn the_rule_holds_in_every_order_of_a_calm_world() {
-    let found = all(Rule { steps: 3, ..Rule::new() }, 100);
+fn invariants_hold_in_all_orders_without_faults() {
+    let found = check_all_orders(FleetModel { ticks: 3, ..FleetModel::new() }, 100);
     assert!(found.contains("the whole cap is spent in a window"));
 }
 
 #[test]
-fn the_rule_holds_in_every_order_of_a_few_acts_of_a_wild_one() {
-    all(Rule { steps: 3, kills: 1, successors: 1, ..Rule::new() }, 8);
-    all(Rule { steps: 3, late: true, successors: 1, ..Rule::new() }, 7);
+fn invariants_hold_in_all_orders_of_a_few_steps_with_faults() {
+    check_all_orders(FleetModel { ticks: 3, kills: 1, replacements: 1, ..FleetModel::new() }, 8);
+    check_all_orders(FleetModel { ticks: 3, delays: true, replacements: 1, ..FleetModel::new() }, 7);
 }
 
-fn lost() -> Rule {
-    Rule { steps: 8, kills: 2, successors: 1, ..Rule::new() }
+fn with_losses() -> FleetModel {
+    FleetModel { ticks: 8, kills: 2, replacements: 1, ..FleetModel::new() }
 }
 
 #[test]
-fn the_rule_holds_over_long_ways() {
-    let wild = Rule { steps: 12, kills: 2, successors: 2, late: true, waits: true, ..Rule::new() };
-    let lower = Rule { lower: true, kills: 0, successors: 0, ..wild.clone() };
-    for rule in [wild, lower, lost()] {
-        assert_eq!(found(&rule, 1, 2_000), None);
+fn invariants_hold_in_long_random_runs() {
+    let faulty = FleetModel {
+        ticks: 12,
+        kills: 2,
+        replacements: 2,
+        delays: true,
+        requests_wait: true,
+        ..FleetModel::new()
+    };
+    let lowered = FleetModel { lowers_limit: true, kills: 0, replacements: 0, ..faulty.clone() };
+    for model in [faulty, lowered, with_losses()] {
+        assert_eq!(find_violation(&model, 1, 2_000), None);
     }
 }
 
-/// Units are lent to requests that wait, and go back after their window.
-fn on_demand(rule: &Rule) -> Rule {
+/// The same model with units lent only to waiting requests and returned after their window.
+fn on_demand(model: &FleetModel) -> FleetModel {
     let tuning = |tuning: &Tuning| Tuning { on_demand_cap_per_gateway: CAP + 1, ..tuning.clone() };
-    Rule { tuning: tuning(&rule.tuning), gateways: tuning(&rule.gateways), waits: true, ..rule.clone() }
+    FleetModel {
+        tuning: tuning(&model.tuning),
+        gateway_tuning: tuning(&model.gateway_tuning),
+        requests_wait: true,
+        ..model.clone()
+    }
 }
 
 #[test]
-fn the_rule_holds_where_units_are_lent_on_demand() {
-    let found = all(on_demand(&Rule { steps: 3, ..Rule::new() }), 100);
+fn invariants_hold_with_lending_on_demand() {
+    let found = check_all_orders(on_demand(&FleetModel { ticks: 3, ..FleetModel::new() }), 100);
     assert!(found.contains("the whole cap is spent in a window"));
-    all(on_demand(&Rule { steps: 3, kills: 1, successors: 1, ..Rule::new() }), 8);
-    let wild = Rule { steps: 12, kills: 2, successors: 2, late: true, waits: true, ..Rule::new() };
-    let lower = Rule { lower: true, kills: 0, successors: 0, ..wild.clone() };
-    for rule in [wild, lower, lost()] {
-        assert_eq!(self::found(&on_demand(&rule), 1, 2_000), None);
+    check_all_orders(on_demand(&FleetModel { ticks: 3, kills: 1, replacements: 1, ..FleetModel::new() }), 8);
+    let faulty = FleetModel {
+        ticks: 12,
+        kills: 2,
+        replacements: 2,
+        delays: true,
+        requests_wait: true,
+        ..FleetModel::new()
+    };
+    let lowered = FleetModel { lowers_limit: true, kills: 0, replacements: 0, ..faulty.clone() };
+    for model in [faulty, lowered, with_losses()] {
+        assert_eq!(find_violation(&on_demand(&model), 1, 2_000), None);
     }
 }
 
 #[test]
-fn without_a_guard_it_is_broken_where_units_are_lent_on_demand() {
-    let calm = Rule { kills: 0, successors: 0, ..lost() };
-    let early = Rule { gateways: Tuning { window_ms: STEP_MS, ..tuning() }, ..calm.clone() };
-    needed("a whole window", 1_000, &on_demand(&calm), &on_demand(&early));
-    needed("names", 1_000, &on_demand(&lost()), &on_demand(&Rule { forgetful: true, ..lost() }));
-    for (what, guard, ways) in
-        [("the rest", Guard::UnreportedProcesses, 15_000), ("locks", Guard::EndedProcesses, 1_000)]
-    {
-        needed(what, ways, &on_demand(&lost()), &on_demand(&without(guard, &lost())));
+fn invariants_need_each_mechanism_with_lending_on_demand() {
+    let without_losses = FleetModel { kills: 0, replacements: 0, ..with_losses() };
+    let short_window =
+        FleetModel { gateway_tuning: Tuning { window_ms: STEP_MS, ..tuning() }, ..without_losses.clone() };
+    check_is_needed("the full window", 1_000, &on_demand(&without_losses), &on_demand(&short_window));
+    check_is_needed(
+        "the process list",
+        1_000,
+        &on_demand(&with_losses()),
+        &on_demand(&FleetModel { new_counter_ignores_log: true, ..with_losses() }),
+    );
+    for (mechanism, guard, runs) in [
+        ("holding back for unreported processes", Guard::UnreportedProcesses, 15_000),
+        ("holding back for ended processes", Guard::EndedProcesses, 1_000),
+    ] {
+        check_is_needed(
+            mechanism,
+            runs,
+            &on_demand(&with_losses()),
+            &on_demand(&with_disabled_guard(guard, &with_losses())),
+        );
     }
 }
 
-/// Without a guard the rule is found broken, on the same ways on which it holds with it.
-fn needed(what: &str, ways: u64, with: &Rule, without: &Rule) {
-    println!("without {what}:");
-    let Some((_, acts)) = found(without, 1, ways) else { panic!("without {what} nothing is found") };
-    println!("{} acts", acts.len());
-    assert_eq!(found(with, 1, ways.min(2_000)), None, "with {what}");
+/// Checks that random runs violate an invariant without a mechanism, and that the same runs hold with it.
+fn check_is_needed(mechanism: &str, runs: u64, with: &FleetModel, without: &FleetModel) {
+    println!("without {mechanism}:");
+    let Some((_, steps)) = find_violation(without, 1, runs) else {
+        panic!("no violation found without {mechanism}")
+    };
+    println!("{} steps", steps.len());
+    assert_eq!(find_violation(with, 1, runs.min(2_000)), None, "with {mechanism}");
 }
 
-fn without(guard: Guard, rule: &Rule) -> Rule {
-    let out = |tuning: &Tuning| Tuning { disabled_guard: Some(guard), ..tuning.clone() };
-    Rule { tuning: out(&rule.tuning), gateways: out(&rule.gateways), ..rule.clone() }
+fn with_disabled_guard(guard: Guard, model: &FleetModel) -> FleetModel {
+    let disable = |tuning: &Tuning| Tuning { disabled_guard: Some(guard), ..tuning.clone() };
+    FleetModel {
+        tuning: disable(&model.tuning),
+        gateway_tuning: disable(&model.gateway_tuning),
+        ..model.clone()
+    }
 }
 
 #[test]
-fn without_the_pace_it_is_broken() {
-    let hasty = Rule {
-        gateways: Tuning { bucket_depth: BucketDepth { divisor: 1, min: 9, max: 9 }, ..tuning() },
-        ..lost()
+fn invariants_need_the_pace() {
+    let unpaced = FleetModel {
+        gateway_tuning: Tuning { bucket_depth: BucketDepth { divisor: 1, min: 9, max: 9 }, ..tuning() },
+        ..with_losses()
     };
-    needed("the pace", 4_000, &lost(), &hasty);
+    check_is_needed("the pace", 4_000, &with_losses(), &unpaced);
 }
 
 #[test]
-fn without_the_names_on_the_log_it_is_broken() {
-    needed("names", 1_000, &lost(), &Rule { forgetful: true, ..lost() });
+fn invariants_need_the_process_list() {
+    check_is_needed(
+        "the process list",
+        1_000,
+        &with_losses(),
+        &FleetModel { new_counter_ignores_log: true, ..with_losses() },
+    );
 }
 
 #[test]
-fn without_the_end_of_loans_it_is_broken() {
-    let lasting = Rule { gateways: Tuning { lease_ms: 10 * STEP_MS, ..tuning() }, ..lost() };
-    needed("the end of loans", 1_000, &lost(), &lasting);
+fn invariants_need_the_end_of_leases() {
+    let long_lease =
+        FleetModel { gateway_tuning: Tuning { lease_ms: 10 * STEP_MS, ..tuning() }, ..with_losses() };
+    check_is_needed("the end of leases", 1_000, &with_losses(), &long_lease);
 }
 
 #[test]
-fn with_units_back_too_early_it_is_broken() {
-    let calm = Rule { kills: 0, successors: 0, ..lost() };
-    let early = Rule { gateways: Tuning { window_ms: STEP_MS, ..tuning() }, ..calm.clone() };
-    needed("a whole window", 1_000, &calm, &early);
+fn invariants_need_the_full_window() {
+    let without_losses = FleetModel { kills: 0, replacements: 0, ..with_losses() };
+    let short_window =
+        FleetModel { gateway_tuning: Tuning { window_ms: STEP_MS, ..tuning() }, ..without_losses.clone() };
+    check_is_needed("the full window", 1_000, &without_losses, &short_window);
 }
 
 #[test]
-fn without_what_lives_on_the_log_may_have_it_is_broken() {
-    needed("the rest", 2_000, &lost(), &without(Guard::UnreportedProcesses, &lost()));
+fn invariants_need_units_held_back_for_unreported_processes() {
+    check_is_needed(
+        "holding back for unreported processes",
+        2_000,
+        &with_losses(),
+        &with_disabled_guard(Guard::UnreportedProcesses, &with_losses()),
+    );
 }
 
 #[test]
-fn without_what_ended_lives_may_have_it_is_broken() {
-    needed("locks", 2_000, &lost(), &without(Guard::EndedProcesses, &lost()));
+fn invariants_need_units_held_back_for_ended_processes() {
+    check_is_needed(
+        "holding back for ended processes",
+        2_000,
+        &with_losses(),
+        &with_disabled_guard(Guard::EndedProcesses, &with_losses()),
+    );
 }
 
 #[test]
-fn with_overtaken_calls_it_is_broken() {
-    let late = Rule { late: true, ..lost() };
-    needed("the order of calls", 2_000, &late, &without(Guard::CallOrder, &late));
+fn invariants_need_overtaken_calls_to_be_ignored() {
+    let delayed = FleetModel { delays: true, ..with_losses() };
+    check_is_needed("the order of calls", 2_000, &delayed, &with_disabled_guard(Guard::CallOrder, &delayed));
 }
 
 #[test]
-fn with_answers_to_older_calls_it_is_broken() {
-    let late = Rule { steps: 12, late: true, waits: true, successors: 2, ..lost() };
-    needed("the newest answer alone", 2_000, &late, &without(Guard::NewestAnswer, &late));
+fn invariants_need_older_answers_to_be_ignored() {
+    let delayed =
+        FleetModel { ticks: 12, delays: true, requests_wait: true, replacements: 2, ..with_losses() };
+    check_is_needed(
+        "accepting only the newest answer",
+        2_000,
+        &delayed,
+        &with_disabled_guard(Guard::NewestAnswer, &delayed),
+    );
 }
 
-/// A call that tells all, late until another counter leads: it told less than has been lent since.
+/// A full report that arrives only when another counter leads reports less than has been lent since.
 #[test]
-fn with_calls_meant_for_an_older_counter_it_is_broken() {
-    let late = Rule { late: true, kills: 0, successors: 2, ..lost() };
-    needed("the counter's own term", 2_000, &late, &without(Guard::IntendedTerm, &late));
+fn invariants_need_reports_for_older_counters_to_be_ignored() {
+    let delayed = FleetModel { delays: true, kills: 0, replacements: 2, ..with_losses() };
+    check_is_needed(
+        "the check of the term",
+        2_000,
+        &delayed,
+        &with_disabled_guard(Guard::IntendedTerm, &delayed),
+    );
 }
