--- a/crates/quota/src/tuning.rs
+++ b/crates/quota/src/tuning.rs
@@ -91,8 +91,7 @@
     pub fetch_interval_ms: u64,
     /// Minimum time between two calls of a gateway while requests wait.
     pub urgent_fetch_interval_ms: u64,
-    /// Minimum time between two requests of a gateway for units of a tenant whose cap or pace is used
-    /// up.
+    /// Minimum time between two requests of a gateway for units of a tenant whose cap or pace is used up.
     pub exhausted_fetch_interval_ms: u64,
     /// A tenant whose cap has fewer units than this for each gateway is lent units on demand only.
     pub on_demand_cap_per_gateway: u64,
