--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -1,6 +1,6 @@
 //! What travels between the client's side and the servers' side of a gateway.
 
-use crate::ebb::Ebb;
+use crate::tenant_pacing::Ebb;
 use bytes::Bytes;
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
--- a/crates/edge/src/front.rs
+++ b/crates/edge/src/front.rs
@@ -4,11 +4,11 @@
 mod lifecycle;
 mod terminal;
 
-use crate::beyond::Beyond;
-use crate::ebb::Slow;
 use crate::exchange::{Admission, Admitted, Body, Dispatch, Exchange};
+use crate::quota_refusals::Beyond;
 use crate::reply::{Own, Reply};
 use crate::table::{self, Route, RouteMatch, Swap, Table, Tenant};
+use crate::tenant_pacing::Slow;
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_http::stream::RequestHead;
--- a/crates/edge/src/front/keyed.rs
+++ b/crates/edge/src/front/keyed.rs
@@ -4,8 +4,8 @@
 //! A claimed request is served by a task of its own: a client that leaves ends neither the run nor the record of it.
 
 use super::{AdmittedRequest, Ask, Front, ELSEWHERE_PAUSE_MS, KEYS_STALE};
-use crate::claiming::{Claiming, Refusal, Step};
-use crate::claims::Claims;
+use crate::claim_attempt::{Claiming, Refusal, Step};
+use crate::claim_client::Claims;
 use crate::exchange::Body;
 use crate::operations::{request_digest, Answer, Operations};
 use crate::reply::{Own, Reply};
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -3,12 +3,12 @@
 mod claims;
 
 use crate::alarm::Alarm;
-use crate::ebb::Ebb;
 use crate::exchange::{Admission, Admitted};
 use crate::hedge::HedgeDelay;
 use crate::lease::Lease;
 use crate::proxy::{Backend, Proxy};
 use crate::table::{Swap, Table};
+use crate::tenant_pacing::Ebb;
 use crate::upstream::Place;
 use crate::watch::{Call, Ended, Step, Watcher, CONNECT_MS, GIVE_UP_MS};
 use bytes::Bytes;
--- a/crates/edge/src/link/claims.rs
+++ b/crates/edge/src/link/claims.rs
@@ -1,7 +1,7 @@
 //! Claims at the leader, and questions to the gateways that hold claims.
 
 use super::Link;
-use crate::claims::{Awaited, Claims};
+use crate::claim_client::{Awaited, Claims};
 use crate::hedge::HedgeDelay;
 use nickeljunction_messages::{path, ClaimAnswer, ClaimCall, LeaderRedirect, RecallAnswer, RecallCall};
 use nickeljunction_net::caller::{CallError, Reply};
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -11,8 +11,8 @@
 use crate::exchange_state::{Sends, Withheld};
 use crate::overflow::Overflow;
 use crate::pool::Pool;
+use crate::proxy_context::{Book, Shared};
 use crate::selection;
-use crate::shared::{Book, Shared};
 use crate::shutdown::Shutdown;
 use crate::upstream::{near, own_slots, usable, weight, Place, Upstream};
 use nickeljunction_core::facade::{
--- a/crates/edge/tests/claims.rs
+++ b/crates/edge/tests/claims.rs
@@ -3,7 +3,7 @@
 mod link_world;
 
 use link_world::{link, serve, wheel};
-use nickeljunction_edge::claims::Claims;
+use nickeljunction_edge::claim_client::Claims;
 use nickeljunction_edge::operations::{Begun, Operations};
 use nickeljunction_edge::recall::Recall;
 use nickeljunction_messages::{
--- a/crates/edge/tests/front_world/mod.rs
+++ b/crates/edge/tests/front_world/mod.rs
@@ -5,12 +5,12 @@
 
 use bytes::Bytes;
 use nickeljunction_core::life::Answer;
-use nickeljunction_edge::ebb::Ebb;
 use nickeljunction_edge::exchange::{
     Admission, Admitted, Dispatch, Exchange, Part, Served, ServedBody, Stream,
 };
 use nickeljunction_edge::front::{Front, Lifecycle};
 use nickeljunction_edge::table::{Swap, Table};
+use nickeljunction_edge::tenant_pacing::Ebb;
 use nickeljunction_http::Headers;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
--- a/crates/edge/tests/keyed.rs
+++ b/crates/edge/tests/keyed.rs
@@ -4,7 +4,7 @@
 
 use front_world::*;
 use nickeljunction_core::life::Answer;
-use nickeljunction_edge::claims::{Awaited, Claims};
+use nickeljunction_edge::claim_client::{Awaited, Claims};
 use nickeljunction_edge::exchange::{Admitted, Part};
 use nickeljunction_edge::front::Keyed;
 use nickeljunction_edge::operations::Operations;
--- a/crates/edge/tests/once_world/world.rs
+++ b/crates/edge/tests/once_world/world.rs
@@ -1,9 +1,9 @@
 //! Gateways, the core, servers and the ways between them, with every next step there is. The flow of a try is
-//! `edge::claiming`, its record `edge::operations`; how a run's end is recorded is as in `edge::front::keyed`.
+//! `edge::claim_attempt`, its record `edge::operations`; how a run's end is recorded is as in `edge::front::keyed`.
 
 use super::core::{Answered, Core, WINDOW_MS};
 use super::{Bounds, Fault};
-use nickeljunction_edge::claiming::{Claiming, Refusal, Step};
+use nickeljunction_edge::claim_attempt::{Claiming, Refusal, Step};
 use nickeljunction_edge::operations::{Answer, Operations};
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, KeptAnswer, OperationId, RecallAnswer, RecallCall};
 use std::net::Ipv4Addr;
