--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -1,7 +1,9 @@
 //! One send of a request to one server over its sockets; what its answer means is decided in [`crate::exchange_state`].
 
-use crate::exchange::{Body, Exchange, Part, Served, ServedBody, Stream, MOST_WHOLE};
-use crate::exchange_state::{verdict, Receiver, Sends, Verdict, Withheld};
+use crate::exchange::{
+    BodyPart, BodyStream, Exchange, RequestBody, ResponseBody, ServerResponse, MAX_BUFFERED_BODY_BYTES,
+};
+use crate::exchange_state::{judge_answer, AnswerReader, AnswerVerdict, SendCounts, SendDenial};
 use crate::pool::{Link, Pool, SendError};
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::{Outcome, RetrySafety};
@@ -34,7 +36,7 @@
     method: String,
     target: String,
     headers: Headers,
-    body: Body,
+    body: RequestBody,
     attempt_id: String,
     pub(crate) tenant: Option<String>,
     pub(crate) backend: Rc<str>,
@@ -45,21 +47,21 @@
     /// When its client stops waiting, ms of the program's clock.
     pub(crate) deadline: f64,
     /// Its unit is good for a first byte until then, ms of the program's clock.
-    pub(crate) unit_until: f64,
-    reply: RefCell<Option<oneshot::Sender<Answer<Served>>>>,
+    pub(crate) unit_valid_until: f64,
+    reply: RefCell<Option<oneshot::Sender<Answer<ServerResponse>>>>,
     /// What went out of it.
-    sends: Cell<Sends>,
+    sends: Cell<SendCounts>,
     /// The module has it, and had the chance to send it at once.
     pub(crate) waits: Cell<bool>,
     /// Why its last send did not begin; `None`: each that the module asked for did.
-    pub(crate) withheld: Cell<Option<Withheld>>,
+    pub(crate) withheld: Cell<Option<SendDenial>>,
     /// The budget of its service has counted it.
     pub(crate) counted: Cell<bool>,
     /// The last whole answer that told of a failure.
-    failure: RefCell<Option<Served>>,
+    failure: RefCell<Option<ServerResponse>>,
     /// Sends that were given up and go on all the same, and what the client is told should none of them be answered.
     kept: RefCell<Vec<(usize, AbortHandle)>>,
-    parked: RefCell<Option<Answer<Served>>>,
+    parked: RefCell<Option<Answer<ServerResponse>>>,
     _held: Rc<()>,
 }
 
@@ -74,11 +76,11 @@
             attempt_id: exchange.attempt_id,
             tenant: exchange.tenant,
             backend: exchange.backend,
-            repeat: exchange.repeat,
+            repeat: exchange.retry_safety,
             max_attempts: exchange.max_attempts,
-            aim_ms: exchange.aim_ms,
-            deadline: exchange.arrived + exchange.patience_ms,
-            unit_until: exchange.unit_until,
+            aim_ms: exchange.target_latency_ms,
+            deadline: exchange.arrived + exchange.timeout_ms,
+            unit_valid_until: exchange.unit_valid_until,
             reply: RefCell::new(Some(exchange.reply)),
             sends: Cell::default(),
             waits: Cell::new(false),
@@ -108,8 +110,8 @@
     /// Its body is still here to be sent.
     pub(crate) fn has_body(&self) -> bool {
         match &self.body {
-            Body::Whole(_) => true,
-            Body::Streamed(stream) => stream.borrow().is_some(),
+            RequestBody::Buffered(_) => true,
+            RequestBody::Streamed(stream) => stream.borrow().is_some(),
         }
     }
 
@@ -129,7 +131,7 @@
     }
 
     /// A send has ended, with this answer if it was kept and has one; false if it was not kept.
-    pub(crate) fn kept_ended(&self, attempt: usize, served: &mut Option<Served>) -> bool {
+    pub(crate) fn kept_ended(&self, attempt: usize, served: &mut Option<ServerResponse>) -> bool {
         let known = self.kept.borrow().iter().position(|(kept, _)| *kept == attempt);
         let Some(at) = known else { return false };
         self.kept.borrow_mut().remove(at);
@@ -141,7 +143,7 @@
     }
 
     /// Gives the client its answer. A refusal would promise that the request has not run and never will.
-    pub(crate) fn answer(&self, answer: Answer<Served>) {
+    pub(crate) fn answer(&self, answer: Answer<ServerResponse>) {
         if !matches!(answer, Answer::Served(_)) && !self.kept.borrow().is_empty() {
             *self.parked.borrow_mut() = Some(answer);
             return;
@@ -157,7 +159,7 @@
     }
 
     /// What went out of it so far.
-    pub(crate) fn sends(&self) -> Sends {
+    pub(crate) fn sends(&self) -> SendCounts {
         self.sends.get()
     }
 
@@ -165,11 +167,11 @@
     /// little time, or is held not to be worth a wait.
     pub(crate) fn found_no_room(&self) -> bool {
         let unsent = self.sends().begun() == 0;
-        unsent && self.waits.get() && self.withheld.get().is_none_or(Withheld::lacks_room)
+        unsent && self.waits.get() && self.withheld.get().is_none_or(SendDenial::is_capacity_limit)
     }
 
     /// Something goes out of it, or has turned out not to have.
-    pub(crate) fn note(&self, change: impl FnOnce(&mut Sends)) {
+    pub(crate) fn note(&self, change: impl FnOnce(&mut SendCounts)) {
         let mut sends = self.sends.get();
         change(&mut sends);
         self.sends.set(sends);
@@ -214,7 +216,7 @@
 pub(crate) struct Ended {
     pub(crate) outcome: Outcome,
     /// The answer for the client.
-    pub(crate) served: Option<Served>,
+    pub(crate) served: Option<ServerResponse>,
     /// The rest of a streamed answer, to be passed on.
     pub(crate) rest: Option<Rest>,
     /// The server said that it is another one.
@@ -222,7 +224,7 @@
 }
 
 impl Ended {
-    fn with(outcome: Outcome, served: Option<Served>, rest: Option<Rest>) -> Ended {
+    fn with(outcome: Outcome, served: Option<ServerResponse>, rest: Option<Rest>) -> Ended {
         Ended { outcome, served, rest, misdirected: false }
     }
 }
@@ -247,8 +249,8 @@
 ) -> Result<Ended, SendError> {
     let (mut whole, mut stream) = (Bytes::new(), None);
     match &load.body {
-        Body::Whole(body) => whole = body.clone(),
-        Body::Streamed(body) => stream = Some(body.borrow_mut().take().ok_or(SendError::NoBody)?),
+        RequestBody::Buffered(body) => whole = body.clone(),
+        RequestBody::Streamed(body) => stream = Some(body.borrow_mut().take().ok_or(SendError::NoBody)?),
     }
     let length = stream.as_ref().map_or(Some(whole.len() as u64), |stream| stream.length);
     let together = whole.len() <= WITH_HEAD;
@@ -261,7 +263,7 @@
         Ok(begun) => begun,
         Err(error) => {
             // Nothing of it has gone out: another server may have it.
-            if let Body::Streamed(body) = &load.body {
+            if let RequestBody::Streamed(body) = &load.body {
                 *body.borrow_mut() = stream;
             }
             return Err(error);
@@ -271,9 +273,9 @@
         whole = Bytes::new();
     }
     let peer = link.peer;
-    load.note(Sends::expose);
-    link.carried.add(load.is_head());
-    let came = Receiver::new(&load.attempt_id, load.is_head(), link.carried);
+    load.note(SendCounts::mark_exposed);
+    link.carried.record_request(load.is_head());
+    let came = AnswerReader::new(&load.attempt_id, load.is_head(), link.carried);
     let mut incoming = Incoming { came, peer };
     let sent = match stream {
         None => {
@@ -297,8 +299,8 @@
                     came = incoming.more(&mut reading, READ_BYTES) => came?,
                 }
                 // A server may answer before it has the whole body: what it would still get is of no use to it.
-                if incoming.came.answered() {
-                    incoming.came.cut_short();
+                if incoming.came.has_early_answer() {
+                    incoming.came.mark_request_incomplete();
                     break Ok(());
                 }
             }
@@ -309,7 +311,7 @@
             return Err(error);
         }
         // It may have answered and closed before it read all.
-        incoming.came.cut_short();
+        incoming.came.mark_request_incomplete();
         return match answer(pool, id, load, link, incoming).await {
             Ok(ended) => Ok(ended),
             Err(_) => Err(error),
@@ -340,26 +342,26 @@
 /// Writes a streamed body.
 async fn send_stream(
     writing: &mut (impl AsyncWriteExt + Unpin),
-    mut stream: Stream,
+    mut stream: BodyStream,
     peer: SocketAddr,
 ) -> Result<(), SendError> {
     let failed = |error| SendError::Write(peer, error);
     let mut left = stream.length;
     while let Some(part) = stream.parts.recv().await {
         match (part, &mut left) {
-            (Part::Data(bytes), Some(left)) => {
+            (BodyPart::Data(bytes), Some(left)) => {
                 // More than stated would be read as the next request.
                 *left = left.checked_sub(bytes.len() as u64).ok_or(SendError::BodyBroke(peer))?;
                 writing.write_all(&bytes).await.map_err(failed)?;
             }
-            (Part::Data(bytes), None) => {
+            (BodyPart::Data(bytes), None) => {
                 let mut chunk = BytesMut::with_capacity(bytes.len() + 16);
                 put_chunk(&mut chunk, &bytes);
                 writing.write_all(&chunk).await.map_err(failed)?;
             }
-            (Part::End, Some(0)) => return Ok(()),
-            (Part::End, Some(_)) => break,
-            (Part::End, None) => {
+            (BodyPart::End, Some(0)) => return Ok(()),
+            (BodyPart::End, Some(_)) => break,
+            (BodyPart::End, None) => {
                 let mut end = BytesMut::with_capacity(8);
                 put_last_chunk(&mut end);
                 return writing.write_all(&end).await.map_err(failed);
@@ -371,14 +373,14 @@
 
 /// What comes from a server.
 struct Incoming {
-    came: Receiver,
+    came: AnswerReader,
     peer: SocketAddr,
 }
 
 impl Incoming {
     /// Reads some more.
     async fn more(&mut self, reading: &mut (impl AsyncRead + Unpin), most: usize) -> Result<(), SendError> {
-        let from = &mut self.came.from;
+        let from = &mut self.came.buffer;
         let begun = !from.is_empty();
         from.reserve(most);
         match reading.read_buf(from).await {
@@ -393,18 +395,18 @@
     /// The head of the answer to this request.
     async fn head(&mut self, link: &mut Link) -> Result<AnswerHead, SendError> {
         loop {
-            match self.came.head().map_err(|flaw| SendError::flaw(self.peer, flaw))? {
+            match self.came.read_head().map_err(|flaw| SendError::flaw(self.peer, flaw))? {
                 Some(head) => return Ok(head),
                 None => self.more(&mut link.stream, READ_BYTES).await?,
             }
         }
     }
 
-    /// The body, or its start where it is longer than [`MOST_WHOLE`].
+    /// The body, or its start where it is longer than [`MAX_BUFFERED_BODY_BYTES`].
     async fn body(&mut self, link: &mut Link, reader: &mut BodyReader) -> Result<Bytes, SendError> {
         let mut whole = BytesMut::new();
         loop {
-            let step = reader.next(&mut self.came.from);
+            let step = reader.next(&mut self.came.buffer);
             match step.map_err(|error| SendError::Garbled(self.peer, error))? {
                 Chunk::Part(part) if whole.is_empty() && reader.is_complete() => return Ok(part),
                 Chunk::Part(part) => whole.extend_from_slice(&part),
@@ -415,7 +417,7 @@
                     other => other?,
                 },
             }
-            if reader.is_complete() || whole.len() > MOST_WHOLE {
+            if reader.is_complete() || whole.len() > MAX_BUFFERED_BODY_BYTES {
                 return Ok(whole.freeze());
             }
         }
@@ -434,28 +436,32 @@
     link.heed(head.headers.get("keep-alive"));
     let mut reader =
         BodyReader::new(head.framing, u64::MAX).map_err(|error| SendError::Garbled(link.peer, error))?;
-    let (outcome, deliver, in_reserve) = match verdict(&head, load.repeat) {
-        Verdict::TurnedAway { misdirected } => {
-            load.note(Sends::vouched);
+    let (outcome, deliver, use_as_fallback) = match judge_answer(&head, load.repeat) {
+        AnswerVerdict::NotExecuted { misdirected } => {
+            load.note(SendCounts::mark_not_executed);
             // Its body matters only for the connection, and not enough to wait for it.
             while !reader.is_complete() {
-                if matches!(reader.next(&mut incoming.came.from), Ok(Chunk::Incomplete) | Err(_)) {
+                if matches!(reader.next(&mut incoming.came.buffer), Ok(Chunk::Incomplete) | Err(_)) {
                     break;
                 }
             }
             give_back(pool, id, link, &incoming, reader.is_complete() && !misdirected);
             return Ok(Ended { misdirected, ..Ended::with(Outcome::TurnedAway, None, None) });
         }
-        Verdict::Foreign(what) => return Err(SendError::Foreign(link.peer, what)),
-        Verdict::Deliver(outcome) => (outcome, true, false),
-        Verdict::Elsewhere { in_reserve } => (Outcome::Error, false, in_reserve),
+        AnswerVerdict::Mismatch(what) => return Err(SendError::Foreign(link.peer, what)),
+        AnswerVerdict::Deliver(outcome) => (outcome, true, false),
+        AnswerVerdict::TryElsewhere { use_as_fallback } => (Outcome::Error, false, use_as_fallback),
     };
-    let long = matches!(head.framing, Framing::Length(length) if length > MOST_WHOLE);
+    let long = matches!(head.framing, Framing::Length(length) if length > MAX_BUFFERED_BODY_BYTES);
     let begin = if long { Bytes::new() } else { incoming.body(&mut link, &mut reader).await? };
     if reader.is_complete() {
         give_back(pool, id, link, &incoming, true);
-        let served = Served { status: head.status, headers: head.headers, body: ServedBody::Whole(begin) };
-        if in_reserve {
+        let served = ServerResponse {
+            status: head.status,
+            headers: head.headers,
+            body: ResponseBody::Buffered(begin),
+        };
+        if use_as_fallback {
             *load.failure.borrow_mut() = Some(served);
             return Ok(Ended::with(outcome, None, None));
         }
@@ -469,15 +475,15 @@
         Framing::Length(length) => Some(length as u64),
         Framing::Chunked => None,
     };
-    let body = ServedBody::Streamed(Stream { length, parts });
-    let served = Served { status: head.status, headers: head.headers, body };
+    let body = ResponseBody::Streamed(BodyStream { length, parts });
+    let served = ServerResponse { status: head.status, headers: head.headers, body };
     let rest = Rest { id: id.to_string(), link, incoming, reader, begin, to };
     Ok(Ended::with(outcome, Some(served), Some(rest)))
 }
 
 /// Keeps a connection that may carry another request; any other is closed.
 fn give_back(pool: &Pool, id: &str, link: Link, incoming: &Incoming, read: bool) {
-    if incoming.came.reusable(read) {
+    if incoming.came.is_reusable(read) {
         pool.keep(id, link);
     }
 }
@@ -489,24 +495,24 @@
     incoming: Incoming,
     reader: BodyReader,
     begin: Bytes,
-    to: mpsc::Sender<Part>,
+    to: mpsc::Sender<BodyPart>,
 }
 
 impl Rest {
-    /// Passes it on until it is whole, breaks, or the client has gone; a break shows as an end without [`Part::End`].
+    /// Passes it on until it is whole, breaks, or the client has gone; a break shows as an end without [`BodyPart::End`].
     /// Dropping the future breaks it.
     pub(crate) async fn pass_on(mut self, pool: &Pool) {
         let mut begin = std::mem::take(&mut self.begin);
         while !begin.is_empty() {
             let part = begin.split_to(begin.len().min(STREAM_BYTES));
-            if self.to.send(Part::Data(part)).await.is_err() {
+            if self.to.send(BodyPart::Data(part)).await.is_err() {
                 return;
             }
         }
         loop {
-            match self.reader.next(&mut self.incoming.came.from) {
+            match self.reader.next(&mut self.incoming.came.buffer) {
                 Ok(Chunk::Part(part)) => {
-                    if self.to.send(Part::Data(part)).await.is_err() {
+                    if self.to.send(BodyPart::Data(part)).await.is_err() {
                         return;
                     }
                 }
@@ -531,6 +537,6 @@
         }
         give_back(pool, &self.id, self.link, &self.incoming, true);
         // A client that has gone awaits nothing.
-        let _ = self.to.send(Part::End).await;
+        let _ = self.to.send(BodyPart::End).await;
     }
 }
--- a/crates/edge/src/budget.rs
+++ b/crates/edge/src/budget.rs
@@ -8,7 +8,7 @@
 /// of a connection.
 const RATIO_PART: f64 = 0.7;
 /// Gateways to reckon with before the core has told how many there are.
-pub const GATEWAYS_ASSUMED: u32 = 16;
+pub const DEFAULT_GATEWAY_COUNT: u32 = 16;
 
 /// One gateway's part of the slack that all share: half of it is left for what gateways see differently.
 pub fn slack_share(slack: u32, gateways: u32) -> u32 {
@@ -25,19 +25,19 @@
 /// How many further sends a service may get from this gateway: a share of the first ones in a sliding window, and a part of
 /// the common slack. The sum over all gateways then stays under the rule's, whatever each of them sees.
 #[derive(Debug, Clone)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     slice_ms: u64,
     ratio: f64,
     slack: u32,
     slices: [Slice; SLICES as usize + 1],
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Over any `window_ms` (50 at least) the allowed sends beyond the first are under `ratio` of the first ones, plus
     /// `slack_share`.
-    pub fn new(window_ms: u64, ratio: f64, slack_share: u32) -> RepeatBudget {
+    pub fn new(window_ms: u64, ratio: f64, slack_share: u32) -> RetryBudget {
         let slice_ms = (window_ms / SLICES).max(1) + u64::from(!window_ms.is_multiple_of(SLICES));
-        RepeatBudget { slice_ms, ratio, slack: slack_share, slices: [Slice::default(); SLICES as usize + 1] }
+        RetryBudget { slice_ms, ratio, slack: slack_share, slices: [Slice::default(); SLICES as usize + 1] }
     }
 
     /// The share of the slack has changed.
@@ -90,20 +90,20 @@
 
 /// Sends to one cold server: evenly spaced, one at a time, so that it never gets a burst.
 #[derive(Debug, Clone, Copy)]
-pub struct Permits {
+pub struct SendPacer {
     pause_ms: u64,
     next: u64,
 }
 
-impl Permits {
+impl SendPacer {
     /// `per_s` sends a second, 0 for none; the first one at once.
-    pub fn new(now: u64, per_s: f64) -> Permits {
-        Permits { pause_ms: Permits::pause(per_s), next: if per_s > 0.0 { now } else { u64::MAX } }
+    pub fn new(now: u64, per_s: f64) -> SendPacer {
+        SendPacer { pause_ms: SendPacer::pause(per_s), next: if per_s > 0.0 { now } else { u64::MAX } }
     }
 
     /// Another rate from now on; the pause that runs is kept, but for one without an end.
     pub fn set_rate(&mut self, now: u64, per_s: f64) {
-        let pause_ms = Permits::pause(per_s);
+        let pause_ms = SendPacer::pause(per_s);
         if pause_ms != self.pause_ms {
             let stopped = pause_ms == u64::MAX;
             self.next = if stopped { u64::MAX } else { self.next.min(now.saturating_add(pause_ms)) };
@@ -152,7 +152,7 @@
             slack in 0u32..6,
         ) {
             let (window, ratio) = (10_000, 0.2);
-            let mut budget = RepeatBudget::new(window, ratio, slack);
+            let mut budget = RetryBudget::new(window, ratio, slack);
             let (mut now, mut firsts, mut repeats) = (123_456, Vec::new(), Vec::new());
             for (gap, tries) in gaps {
                 now += gap;
@@ -172,7 +172,7 @@
 
     #[test]
     fn a_busy_service_gets_its_share_and_what_was_not_begun_comes_back() {
-        let mut budget = RepeatBudget::new(10_000, 0.2, 0);
+        let mut budget = RetryBudget::new(10_000, 0.2, 0);
         (0..1_000).for_each(|n| budget.first(n * 10));
         let granted = (0..300).filter(|_| budget.repeat(10_000)).count();
         assert!((130..=140).contains(&granted), "{granted}");
@@ -184,7 +184,7 @@
 
     #[test]
     fn a_cold_server_gets_evenly_spaced_sends() {
-        let mut permits = Permits::new(1_000, 4.0);
+        let mut permits = SendPacer::new(1_000, 4.0);
         let sent: Vec<u64> = (1_000..2_001).filter(|now| permits.take(*now)).collect();
         assert_eq!(sent, [1_000, 1_250, 1_500, 1_750, 2_000]);
         permits.set_rate(2_001, 0.0);
--- a/crates/edge/src/claim_attempt.rs
+++ b/crates/edge/src/claim_attempt.rs
@@ -1,7 +1,7 @@
 //! How one try of a keyed operation gets its claim, or what it is told instead, without I/O: its driver makes the calls that
-//! a [`Step`] names and hands over their answers.
+//! a [`ClaimStep`] names and hands over their answers.
 
-use crate::operations::{Answer, Begun, Operations};
+use crate::operations::{BeginResult, OperationTable, StoredAnswer};
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId, RecallAnswer, RecallCall};
 use std::rc::Rc;
 
@@ -10,37 +10,37 @@
 
 /// What a try does next.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
-    /// Have the leader grant this claim; [`Claiming::claimed`] is to be told of the answer.
+pub enum ClaimStep {
+    /// Have the leader grant this claim; [`ClaimAttempt::claimed`] is to be told of the answer.
     Claim(ClaimCall),
-    /// Ask the holder of a claim; [`Claiming::recalled`] is to be told of the answer.
+    /// Ask the holder of a claim; [`ClaimAttempt::recalled`] is to be told of the answer.
     Recall(RecallCall),
     /// The try is over: it runs nothing.
-    Refused(Refusal),
+    Refused(ClaimRefusal),
 }
 
 /// Why a try runs nothing.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Refusal {
+pub enum ClaimRefusal {
     /// The operation ran: this is the first run's answer.
-    Answered(Rc<Answer>),
+    Answered(Rc<StoredAnswer>),
     /// Another try is being claimed, or at a server.
-    AtWork,
+    InProgress,
     /// It may have run, and there is no answer.
     InDoubt,
     /// The key was used for another request.
     OtherRequest,
     /// As many operations as fit are remembered.
-    Full,
+    TableFull,
     /// The leader did not answer in time.
-    Unanswered,
+    LeaderTimeout,
     /// Each claim that was made met another one.
-    Overtaken,
+    TooManyConflicts,
 }
 
 /// One try's way to a claim.
 #[derive(Debug, Clone)]
-pub struct Claiming {
+pub struct ClaimAttempt {
     operation: OperationId,
     request: u64,
     claims_left: usize,
@@ -50,76 +50,81 @@
     taken_over: Option<Claimant>,
 }
 
-impl Claiming {
+impl ClaimAttempt {
     /// Of a request, named by its digest, under a key.
-    pub fn new(operation: OperationId, request: u64) -> Claiming {
-        Claiming { operation, request, claims_left: MOST_CLAIMS, number: 0, taken_over: None }
+    pub fn new(operation: OperationId, request: u64) -> ClaimAttempt {
+        ClaimAttempt { operation, request, claims_left: MOST_CLAIMS, number: 0, taken_over: None }
     }
 
     /// What is to be done first, again while another try is at work, and after each claim that was found to be released.
-    pub fn begin(&mut self, now: f64, table: &mut Operations) -> Step {
+    pub fn begin(&mut self, now: f64, table: &mut OperationTable) -> ClaimStep {
         if self.claims_left == 0 {
-            return Step::Refused(Refusal::Overtaken);
+            return ClaimStep::Refused(ClaimRefusal::TooManyConflicts);
         }
-        Step::Refused(match table.begin(now, self.operation, self.request) {
-            Begun::Claim { claimant, released } => {
+        ClaimStep::Refused(match table.begin(now, self.operation, self.request) {
+            BeginResult::Claim { claimant, released } => {
                 self.claims_left -= 1;
                 self.number = claimant.number;
                 let released = self.taken_over.or(released);
-                return Step::Claim(ClaimCall { operation: self.operation, claimant, released });
+                return ClaimStep::Claim(ClaimCall { operation: self.operation, claimant, released });
             }
-            Begun::Answered(answer) => Refusal::Answered(answer),
-            Begun::AtWork => Refusal::AtWork,
-            Begun::InDoubt => Refusal::InDoubt,
-            Begun::OtherRequest => Refusal::OtherRequest,
-            Begun::Full => Refusal::Full,
+            BeginResult::Answered(answer) => ClaimRefusal::Answered(answer),
+            BeginResult::InProgress => ClaimRefusal::InProgress,
+            BeginResult::InDoubt => ClaimRefusal::InDoubt,
+            BeginResult::OtherRequest => ClaimRefusal::OtherRequest,
+            BeginResult::Full => ClaimRefusal::TableFull,
         })
     }
 
     /// The leader answered, or did not in time. `None`: the claim is granted, and the operation may be sent to a server; else
     /// it is released.
-    pub fn claimed(&mut self, now: f64, table: &mut Operations, answer: Option<ClaimAnswer>) -> Option<Step> {
+    pub fn on_claim_answer(
+        &mut self,
+        now: f64,
+        table: &mut OperationTable,
+        answer: Option<ClaimAnswer>,
+    ) -> Option<ClaimStep> {
         if answer == Some(ClaimAnswer::Granted) {
             return None;
         }
         table.release(now, self.operation, self.number);
         Some(match answer {
             Some(ClaimAnswer::Held(holder)) => self.ask(now, table, holder),
-            Some(ClaimAnswer::Full) => Step::Refused(Refusal::Full),
-            Some(ClaimAnswer::Granted) | None => Step::Refused(Refusal::Unanswered),
+            Some(ClaimAnswer::Full) => ClaimStep::Refused(ClaimRefusal::TableFull),
+            Some(ClaimAnswer::Granted) | None => ClaimStep::Refused(ClaimRefusal::LeaderTimeout),
         })
     }
 
-    fn ask(&mut self, now: f64, table: &mut Operations, holder: Claimant) -> Step {
+    fn ask(&mut self, now: f64, table: &mut OperationTable, holder: Claimant) -> ClaimStep {
         let call = RecallCall { operation: self.operation, claimant: holder, request_digest: self.request };
-        if !table.own(&holder) {
-            return Step::Recall(call);
+        if !table.is_own_claim(&holder) {
+            return ClaimStep::Recall(call);
         }
-        let answer = table.look(&call);
-        self.recalled(now, table, holder, Some(answer))
+        let answer = table.lookup(&call);
+        self.on_recall_answer(now, table, holder, Some(answer))
     }
 
     /// The holder of a claim answered, or did not in time.
-    pub fn recalled(
+    pub fn on_recall_answer(
         &mut self,
         now: f64,
-        table: &mut Operations,
+        table: &mut OperationTable,
         holder: Claimant,
         answer: Option<RecallAnswer>,
-    ) -> Step {
-        Step::Refused(match answer {
+    ) -> ClaimStep {
+        ClaimStep::Refused(match answer {
             Some(RecallAnswer::Released) => {
                 self.taken_over = Some(holder);
                 return self.begin(now, table);
             }
-            Some(RecallAnswer::InProgress) => Refusal::AtWork,
-            Some(RecallAnswer::OtherRequest) => Refusal::OtherRequest,
+            Some(RecallAnswer::InProgress) => ClaimRefusal::InProgress,
+            Some(RecallAnswer::OtherRequest) => ClaimRefusal::OtherRequest,
             Some(RecallAnswer::Answered(answer)) => {
-                table.repeated();
-                Answer::from_message(&answer)
-                    .map_or(Refusal::InDoubt, |answer| Refusal::Answered(Rc::new(answer)))
+                table.record_repeat();
+                StoredAnswer::from_message(&answer)
+                    .map_or(ClaimRefusal::InDoubt, |answer| ClaimRefusal::Answered(Rc::new(answer)))
             }
-            Some(RecallAnswer::InDoubt) | None => Refusal::InDoubt,
+            Some(RecallAnswer::InDoubt) | None => ClaimRefusal::InDoubt,
         })
     }
 }
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -1,6 +1,6 @@
 //! What travels between the client's side and the servers' side of a gateway.
 
-use crate::tenant_pacing::Ebb;
+use crate::tenant_pacing::TenantPacing;
 use bytes::Bytes;
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
@@ -13,19 +13,19 @@
 
 /// Longest body, bytes, of a request or of an answer that is held whole. What is longer is streamed: a streamed request
 /// goes to one server at most, a streamed answer breaks off where its server's does.
-pub const MOST_WHOLE: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
 /// A body that is still coming in.
-pub struct Stream {
+pub struct BodyStream {
     /// Its length, bytes, where it is known beforehand; else it is sent on in chunks.
     pub length: Option<u64>,
-    /// Its parts in order, few at a time (backpressure). The end of the channel without [`Part::End`] is a break.
-    pub parts: mpsc::Receiver<Part>,
+    /// Its parts in order, few at a time (backpressure). The end of the channel without [`BodyPart::End`] is a break.
+    pub parts: mpsc::Receiver<BodyPart>,
 }
 
 /// A part of a streamed body.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Part {
+pub enum BodyPart {
     /// Bytes.
     Data(Bytes),
     /// The body is complete.
@@ -33,11 +33,11 @@
 }
 
 /// A body.
-pub enum Body {
+pub enum RequestBody {
     /// Held whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Streamed: whoever takes it first has it.
-    Streamed(RefCell<Option<Stream>>),
+    Streamed(RefCell<Option<BodyStream>>),
 }
 
 /// A client's request that is allowed, on its way to a server.
@@ -49,7 +49,7 @@
     /// The client's header lines.
     pub headers: Headers,
     /// The body.
-    pub body: Body,
+    pub body: RequestBody,
     /// Value of `X-Attempt-Id`, which every answer of a server must carry back.
     pub attempt_id: String,
     /// Tenant for `X-Tenant-Name`; `None` on an open route: the header is taken away.
@@ -57,11 +57,11 @@
     /// The service.
     pub backend: Rc<str>,
     /// Regions that may serve it; empty: any.
-    pub homes: Rc<[String]>,
+    pub home_regions: Rc<[String]>,
     /// What may be repeated.
-    pub repeat: RetrySafety,
+    pub retry_safety: RetrySafety,
     /// Full worth is earned within this time, ms.
-    pub aim_ms: f64,
+    pub target_latency_ms: f64,
     /// Most servers that it may be sent to.
     pub max_attempts: u32,
     /// Rank, 0 the highest.
@@ -70,29 +70,29 @@
     /// client's `X-Deadline-Remaining` and the route's `timeout_s`.
     pub arrived: f64,
     /// See `arrived`, ms.
-    pub patience_ms: f64,
+    pub timeout_ms: f64,
     /// Its unit is good for a first byte until then, ms of the program's clock; infinite without a tenant.
-    pub unit_until: f64,
+    pub unit_valid_until: f64,
     /// Where the one final answer goes.
-    pub reply: oneshot::Sender<Answer<Served>>,
+    pub reply: oneshot::Sender<Answer<ServerResponse>>,
 }
 
 /// A server's answer.
-pub struct Served {
+pub struct ServerResponse {
     /// Status.
     pub status: u16,
     /// Header lines.
     pub headers: Headers,
     /// Body.
-    pub body: ServedBody,
+    pub body: ResponseBody,
 }
 
 /// A server's body.
-pub enum ServedBody {
+pub enum ResponseBody {
     /// Held whole.
-    Whole(Bytes),
-    /// Longer than [`MOST_WHOLE`] (or of unknown length and longer): passed on as it comes.
-    Streamed(Stream),
+    Buffered(Bytes),
+    /// Longer than [`MAX_BUFFERED_BODY_BYTES`] (or of unknown length and longer): passed on as it comes.
+    Streamed(BodyStream),
 }
 
 /// The servers' side, as the clients' side sees it.
@@ -104,26 +104,26 @@
 
 /// What admission says of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It may go; its unit is spent. The unit must be used before this time, ms of the program's clock.
-    Until(f64),
+    Admitted(f64),
     /// Beyond the tenant's quota: 429, come back after so many ms.
-    Beyond(f64),
+    OverQuota(f64),
     /// The core has not been heard of for too long to know keys and units (503), come back after so many ms.
-    Unknown(f64),
+    QuotaUnknown(f64),
 }
 
 /// Units of tenants and the lease of knowledge, as the clients' side sees them.
 pub trait Admission {
     /// Asks for one unit of a tenant; waits for the counter at most a short time-out.
-    fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>>;
+    fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>>;
     /// Takes one more unit of a tenant at once, for a send beyond the one that was admitted or later than its unit allows.
     /// False: there is none, and nothing is to be sent.
-    fn also(&self, tenant: &str) -> bool;
+    fn take_extra_unit(&self, tenant: &str) -> bool;
     /// `None`: keys may be taken as known. Else for so many ms they may not: revocations bind machines out of touch, too.
-    fn stale(&self) -> Option<f64>;
+    fn stale_retry_after_ms(&self) -> Option<f64>;
     /// Where a tenant's trial has lapsed: what holds its requests. `None`: nobody is slowed.
-    fn ebb(&self) -> Option<&Ebb> {
+    fn pacing(&self) -> Option<&TenantPacing> {
         None
     }
 }
--- a/crates/edge/src/exchange_state.rs
+++ b/crates/edge/src/exchange_state.rs
@@ -14,7 +14,7 @@
 
 /// Why a send does not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Withheld {
+pub enum SendDenial {
     /// As many servers have it as its route allows.
     MostSends,
     /// A server may have run it, and it must not run twice.
@@ -35,36 +35,36 @@
     Budget,
 }
 
-impl Withheld {
+impl SendDenial {
     /// The server had no room for it; the other reasons say nothing of servers.
-    pub fn lacks_room(self) -> bool {
-        self == Withheld::ColdServer
+    pub fn is_capacity_limit(self) -> bool {
+        self == SendDenial::ColdServer
     }
 
     /// The reason in words, for the log.
-    pub fn why(self) -> &'static str {
+    pub fn reason(self) -> &'static str {
         match self {
-            Withheld::MostSends => "most sends",
-            Withheld::MayHaveRun => "may have run",
-            Withheld::ClientGone => "client has gone",
-            Withheld::NoBody => "body is gone",
-            Withheld::Shutdown => "this gateway is about to end",
-            Withheld::ServerGone => "server is gone",
-            Withheld::ColdServer => "cold server",
-            Withheld::Units => "units",
-            Withheld::Budget => "budget",
+            SendDenial::MostSends => "most sends",
+            SendDenial::MayHaveRun => "may have run",
+            SendDenial::ClientGone => "client has gone",
+            SendDenial::NoBody => "body is gone",
+            SendDenial::Shutdown => "this gateway is about to end",
+            SendDenial::ServerGone => "server is gone",
+            SendDenial::ColdServer => "cold server",
+            SendDenial::Units => "units",
+            SendDenial::Budget => "budget",
         }
     }
 }
 
 /// The sends of one request, over all servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sends {
+pub struct SendCounts {
     begun: u32,
     exposed: u32,
 }
 
-impl Sends {
+impl SendCounts {
     /// Servers that have it, or are being sent it.
     pub fn begun(&self) -> u32 {
         self.begun
@@ -74,12 +74,12 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn allow(&self, repeat: RetrySafety, most: u32) -> Result<(), Withheld> {
+    pub fn check_allowed(&self, repeat: RetrySafety, most: u32) -> Result<(), SendDenial> {
         if self.begun >= most {
-            return Err(Withheld::MostSends);
+            return Err(SendDenial::MostSends);
         }
         if repeat == RetrySafety::AtMostOnce && self.exposed > 0 {
-            return Err(Withheld::MayHaveRun);
+            return Err(SendDenial::MayHaveRun);
         }
         Ok(())
     }
@@ -90,17 +90,17 @@
     }
 
     /// A send ended before its first byte.
-    pub fn unsent(&mut self) {
+    pub fn cancel(&mut self) {
         self.begun = self.begun.saturating_sub(1);
     }
 
     /// The first byte of a send has gone out.
-    pub fn expose(&mut self) {
+    pub fn mark_exposed(&mut self) {
         self.exposed += 1;
     }
 
     /// A server vouches for not having run it.
-    pub fn vouched(&mut self) {
+    pub fn mark_not_executed(&mut self) {
         self.exposed = self.exposed.saturating_sub(1);
     }
 
@@ -112,14 +112,14 @@
 
 /// The sorts of requests that a connection has carried: answers to `HEAD` have no body whatever they state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Carried {
+pub struct ConnectionHistory {
     heads: bool,
     others: bool,
 }
 
-impl Carried {
+impl ConnectionHistory {
     /// One more request goes out on it.
-    pub fn add(&mut self, to_head: bool) {
+    pub fn record_request(&mut self, to_head: bool) {
         self.heads |= to_head;
         self.others |= !to_head;
     }
@@ -132,27 +132,27 @@
 
 /// Why what came is no answer to the request.
 #[derive(Debug)]
-pub enum Flaw {
+pub enum InvalidAnswer {
     /// It is no HTTP.
-    Garbled(HttpError),
+    Malformed(HttpError),
     /// It is the answer to another request, or not the server's own.
-    Foreign(&'static str),
+    Mismatch(&'static str),
 }
 
-impl From<HttpError> for Flaw {
-    fn from(error: HttpError) -> Flaw {
-        Flaw::Garbled(error)
+impl From<HttpError> for InvalidAnswer {
+    fn from(error: HttpError) -> InvalidAnswer {
+        InvalidAnswer::Malformed(error)
     }
 }
 
 /// What comes on a connection in answer to one request.
 #[derive(Debug)]
-pub struct Receiver {
+pub struct AnswerReader {
     /// What has been read and not dealt with.
-    pub from: BytesMut,
+    pub buffer: BytesMut,
     id: String,
     to_head: bool,
-    carried: Carried,
+    carried: ConnectionHistory,
     /// The body of a surplus answer that is being read past.
     surplus: Option<BodyReader>,
     /// There has been one.
@@ -161,22 +161,30 @@
     keep: bool,
 }
 
-impl Receiver {
+impl AnswerReader {
     /// For the request of this id on a connection that has carried these sorts of requests, this one among them.
-    pub fn new(id: &str, to_head: bool, carried: Carried) -> Receiver {
-        let from = BytesMut::new();
-        Receiver { from, id: id.to_string(), to_head, carried, surplus: None, passed: false, keep: true }
+    pub fn new(id: &str, to_head: bool, carried: ConnectionHistory) -> AnswerReader {
+        let buffer = BytesMut::new();
+        AnswerReader {
+            buffer,
+            id: id.to_string(),
+            to_head,
+            carried,
+            surplus: None,
+            passed: false,
+            keep: true,
+        }
     }
 
     /// The request did not go out whole: whatever the answer, the connection carries no other.
-    pub fn cut_short(&mut self) {
+    pub fn mark_request_incomplete(&mut self) {
         self.keep = false;
     }
 
     /// What has come while the request is still being written is the answer to it, or nothing that could be followed by
     /// it.
-    pub fn answered(&self) -> bool {
-        match read_answer_head(&mut self.from.clone(), MOST_HEAD, self.to_head) {
+    pub fn has_early_answer(&self) -> bool {
+        match read_answer_head(&mut self.buffer.clone(), MOST_HEAD, self.to_head) {
             Ok(Some(head)) => head.headers.get("x-attempt-id") == Some(&self.id),
             Ok(None) => false,
             Err(_) => true,
@@ -188,12 +196,12 @@
     ///
     /// # Errors
     /// No answer to this request will come on this connection.
-    pub fn head(&mut self) -> Result<Option<AnswerHead>, Flaw> {
+    pub fn read_head(&mut self) -> Result<Option<AnswerHead>, InvalidAnswer> {
         loop {
             if !self.read_past()? {
                 return Ok(None);
             }
-            let head = read_answer_head(&mut self.from, MOST_HEAD, self.to_head)?;
+            let head = read_answer_head(&mut self.buffer, MOST_HEAD, self.to_head)?;
             let Some(head) = head else { return Ok(None) };
             match head.headers.single("x-attempt-id")? {
                 Some(id) if id == self.id => {
@@ -204,17 +212,17 @@
                     (self.passed, self.keep) = (true, false);
                     self.surplus = Some(BodyReader::new(head.framing, MOST_SURPLUS)?);
                 }
-                Some(_) => return Err(Flaw::Foreign("another id")),
-                None => return Err(Flaw::Foreign("no id")),
+                Some(_) => return Err(InvalidAnswer::Mismatch("another id")),
+                None => return Err(InvalidAnswer::Mismatch("no id")),
             }
         }
     }
 
     /// Reads past the body of a surplus answer; `false`: more of it must come first.
-    fn read_past(&mut self) -> Result<bool, Flaw> {
+    fn read_past(&mut self) -> Result<bool, InvalidAnswer> {
         let Some(body) = &mut self.surplus else { return Ok(true) };
         while !body.is_complete() {
-            if body.next(&mut self.from)? == Chunk::Incomplete {
+            if body.next(&mut self.buffer)? == Chunk::Incomplete {
                 return Ok(false);
             }
         }
@@ -224,45 +232,45 @@
 
     /// The connection may carry another request, once the answer was read as far as `whole` says. Bytes past an answer
     /// belong to no request.
-    pub fn reusable(&self, whole: bool) -> bool {
-        whole && self.keep && self.from.is_empty()
+    pub fn is_reusable(&self, whole: bool) -> bool {
+        whole && self.keep && self.buffer.is_empty()
     }
 }
 
 /// What an answer to the request means for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum AnswerVerdict {
     /// It has not run: another server may have it.
-    TurnedAway {
+    NotExecuted {
         /// The server is another one than was meant.
         misdirected: bool,
     },
     /// The client's answer.
     Deliver(Outcome),
     /// Another server may do better where that does no harm.
-    Elsewhere {
+    TryElsewhere {
         /// The answer is the client's should no other server do better.
-        in_reserve: bool,
+        use_as_fallback: bool,
     },
     /// Not the server's own answer.
-    Foreign(&'static str),
+    Mismatch(&'static str),
 }
 
 /// What status and lines of an answer mean for a request that may be repeated like this.
-pub fn verdict(head: &AnswerHead, repeat: RetrySafety) -> Verdict {
+pub fn judge_answer(head: &AnswerHead, repeat: RetrySafety) -> AnswerVerdict {
     if head.status == 421 || head.headers.get("x-not-executed").is_some() {
-        return Verdict::TurnedAway { misdirected: head.status == 421 };
+        return AnswerVerdict::NotExecuted { misdirected: head.status == 421 };
     }
     if head.headers.all("content-encoding").any(|coding| !coding.eq_ignore_ascii_case("identity")) {
-        return Verdict::Foreign("encoded");
+        return AnswerVerdict::Mismatch("encoded");
     }
     match head.status {
-        200..=299 if head.headers.get("x-response-seal").is_none() => Verdict::Foreign("no seal"),
+        200..=299 if head.headers.get("x-response-seal").is_none() => AnswerVerdict::Mismatch("no seal"),
         // It may have run, and the status would promise the client that it has not.
-        408 | 429 | 503 => Verdict::Elsewhere { in_reserve: false },
-        ..=499 => Verdict::Deliver(Outcome::Served),
+        408 | 429 | 503 => AnswerVerdict::TryElsewhere { use_as_fallback: false },
+        ..=499 => AnswerVerdict::Deliver(Outcome::Served),
         // What repeats can go elsewhere; what can't is told what the server told.
-        _ if repeat == RetrySafety::AtMostOnce => Verdict::Deliver(Outcome::Error),
-        _ => Verdict::Elsewhere { in_reserve: true },
+        _ if repeat == RetrySafety::AtMostOnce => AnswerVerdict::Deliver(Outcome::Error),
+        _ => AnswerVerdict::TryElsewhere { use_as_fallback: true },
     }
 }
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/figures.rs
@@ -1,6 +1,6 @@
 //! Figures of the servers' side: what it is tuned by, and what it counts.
 
-use crate::upstream::Nearness;
+use crate::upstream::LocalityWeights;
 use nickeljunction_core::facade::Outcome;
 use std::fmt;
 
@@ -14,7 +14,7 @@
     /// Further sends beyond that in a window, over all gateways.
     pub retry_slack: u32,
     /// How dear a slot is by where it stands.
-    pub nearness: Nearness,
+    pub nearness: LocalityWeights,
     /// How long a connection within the region may take to come up, ms, and to another region.
     pub connect_ms: f64,
     /// See `connect_ms`.
@@ -37,7 +37,7 @@
             retry_window_ms: 10_000,
             retry_ratio: 0.2,
             retry_slack: 0,
-            nearness: Nearness::default(),
+            nearness: LocalityWeights::default(),
             connect_ms: 250.0,
             connect_far_ms: 450.0,
             margin_ms: 10.0,
--- a/crates/edge/src/front.rs
+++ b/crates/edge/src/front.rs
@@ -4,11 +4,11 @@
 mod lifecycle;
 mod terminal;
 
-use crate::exchange::{Admission, Admitted, Body, Dispatch, Exchange};
-use crate::quota_refusals::Beyond;
+use crate::exchange::{Admission, AdmissionDecision, Dispatch, Exchange, RequestBody};
+use crate::quota_refusals::QuotaRefusals;
 use crate::reply::{Own, Reply};
-use crate::table::{self, Route, RouteMatch, Swap, Table, Tenant};
-use crate::tenant_pacing::Slow;
+use crate::table::{self, Route, RouteMatch, SnapshotCell, Table, Tenant};
+use crate::tenant_pacing::PacedRequest;
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_http::stream::RequestHead;
@@ -156,7 +156,7 @@
 struct AdmittedRequest {
     head: RequestHead,
     ask: Ask,
-    body: Body,
+    body: RequestBody,
     /// Until when its first byte may be sent, ms of the program's clock.
     unit_until: f64,
 }
@@ -164,7 +164,7 @@
 /// The clients' side.
 pub struct Front {
     wheel: Wheel,
-    table: Rc<Swap<Table>>,
+    table: Rc<SnapshotCell<Table>>,
     admission: Rc<dyn Admission>,
     dispatch: Rc<dyn Dispatch>,
     lifecycle: Rc<Lifecycle>,
@@ -172,7 +172,7 @@
     /// Claims keyed operations; without it keyed routes are served as non-repeatable ones.
     keyed: RefCell<Option<Rc<Keyed>>>,
     counts: Counts,
-    beyond: Beyond,
+    beyond: QuotaRefusals,
     lots: RefCell<fastrand::Rng>,
     scratch: RefCell<Box<[u8]>>,
 }
@@ -181,7 +181,7 @@
     /// A front; `seed` draws services by weight.
     pub fn new(
         wheel: Wheel,
-        table: Rc<Swap<Table>>,
+        table: Rc<SnapshotCell<Table>>,
         admission: Rc<dyn Admission>,
         dispatch: Rc<dyn Dispatch>,
         lifecycle: Rc<Lifecycle>,
@@ -190,7 +190,7 @@
     ) -> Rc<Front> {
         let lots = RefCell::new(fastrand::Rng::with_seed(seed));
         let scratch = RefCell::new(vec![0; SCRATCH].into_boxed_slice());
-        let (counts, beyond) = (Counts::default(), Beyond::default());
+        let (counts, beyond) = (Counts::default(), QuotaRefusals::default());
         let keyed = RefCell::default();
         Rc::new(Front {
             wheel,
@@ -223,7 +223,7 @@
     }
 
     /// Tenants refused for their quota lately.
-    pub fn beyond(&self) -> &Beyond {
+    pub fn beyond(&self) -> &QuotaRefusals {
         &self.beyond
     }
 
@@ -357,13 +357,13 @@
     }
 
     fn stale(&self, error: &'static str) -> Option<Own> {
-        let pause = self.admission.stale()?;
+        let pause = self.admission.stale_retry_after_ms()?;
         count(&self.counts.stale);
         Some(Own::refusal(503, error, pause))
     }
 
     /// Admits a request, hands it on and waits for its answer. Dropping this gives it up.
-    async fn pass_on(self: Rc<Self>, head: RequestHead, ask: Ask, body: Body) -> Reply {
+    async fn pass_on(self: Rc<Self>, head: RequestHead, ask: Ask, body: RequestBody) -> Reply {
         let operation = match self.operation(&head, &ask, &body) {
             Ok(operation) => operation,
             Err(own) => return Reply::Own(own),
@@ -406,20 +406,20 @@
             body,
             attempt_id,
             backend,
-            homes,
-            repeat: if route.repeatable { RetrySafety::Idempotent } else { RetrySafety::AtMostOnce },
-            aim_ms: route.aim_ms,
+            home_regions: homes,
+            retry_safety: if route.repeatable { RetrySafety::Idempotent } else { RetrySafety::AtMostOnce },
+            target_latency_ms: route.aim_ms,
             max_attempts: route.max_attempts,
             priority: table::priority(&route, tenant.as_deref()),
             tenant: tenant.map(|tenant| tenant.name.to_string()),
             arrived,
-            patience_ms,
-            unit_until,
+            timeout_ms: patience_ms,
+            unit_valid_until: unit_until,
             reply,
         });
         let answer = answer.await;
-        if let (Ok(Answer::Served(_)), Some(ebb)) = (&answer, self.admission.ebb()) {
-            ebb.served(&route.name, self.wheel.now() - sent);
+        if let (Ok(Answer::Served(_)), Some(ebb)) = (&answer, self.admission.pacing()) {
+            ebb.record_service_time(&route.name, self.wheel.now() - sent);
         }
         match answer {
             Ok(Answer::Served(served)) => Reply::Served(served),
@@ -434,17 +434,17 @@
 
     /// Holds a request of a tenant whose trial has lapsed, or tells it when to come back: no server was asked then.
     async fn slow(&self, ask: &Ask) -> Result<(), Own> {
-        let (Some(tenant), Some(ebb)) = (&ask.tenant, self.admission.ebb()) else { return Ok(()) };
+        let (Some(tenant), Some(ebb)) = (&ask.tenant, self.admission.pacing()) else { return Ok(()) };
         let Ask { route, deadline_ms, patience_ms, arrived, .. } = ask;
-        let slow = Slow {
+        let slow = PacedRequest {
             tenant: &tenant.name,
             route: &route.name,
             gives_way: route.gives_way,
-            aim_ms: route.aim_ms,
-            deadline_ms: *deadline_ms,
-            left_ms: arrived + patience_ms - self.wheel.now(),
+            target_latency_ms: route.aim_ms,
+            client_timeout_ms: *deadline_ms,
+            max_delay_ms: arrived + patience_ms - self.wheel.now(),
         };
-        ebb.slow(slow)
+        ebb.admit(slow)
             .await
             .map_err(|pause| Own::refusal(429, "the tenant's trial has lapsed, come back", pause))
     }
@@ -454,20 +454,22 @@
         let Some(tenant) = &ask.tenant else { return Ok(f64::INFINITY) };
         let mut admitted = self.admission.admit(&tenant.name).await;
         // A unit that this task came too late to use: one more is asked for.
-        if matches!(admitted, Admitted::Until(until) if until < self.wheel.now()) {
+        if matches!(admitted, AdmissionDecision::Admitted(until) if until < self.wheel.now()) {
             admitted = self.admission.admit(&tenant.name).await;
         }
         match admitted {
-            Admitted::Until(until) if until < self.wheel.now() => {
+            AdmissionDecision::Admitted(until) if until < self.wheel.now() => {
                 Err(Own::refusal(503, "unit of quota came too late", 0.0))
             }
             // The wait may have been long enough for the lease of knowledge to end.
-            Admitted::Until(until) => self.stale(KEYS_STALE).map_or(Ok(until), Err),
-            Admitted::Beyond(pause) => {
-                self.beyond.add(&tenant.name);
+            AdmissionDecision::Admitted(until) => self.stale(KEYS_STALE).map_or(Ok(until), Err),
+            AdmissionDecision::OverQuota(pause) => {
+                self.beyond.record(&tenant.name);
                 Err(Own::refusal(429, "beyond the quota", pause))
             }
-            Admitted::Unknown(pause) => Err(Own::refusal(503, "quota not known, core out of reach", pause)),
+            AdmissionDecision::QuotaUnknown(pause) => {
+                Err(Own::refusal(503, "quota not known, core out of reach", pause))
+            }
         }
     }
 }
--- a/crates/edge/src/front/keyed.rs
+++ b/crates/edge/src/front/keyed.rs
@@ -4,10 +4,10 @@
 //! A claimed request is served by a task of its own: a client that leaves ends neither the run nor the record of it.
 
 use super::{AdmittedRequest, Ask, Front, ELSEWHERE_PAUSE_MS, KEYS_STALE};
-use crate::claim_attempt::{Claiming, Refusal, Step};
-use crate::claim_client::Claims;
-use crate::exchange::Body;
-use crate::operations::{request_digest, Answer, Operations};
+use crate::claim_attempt::{ClaimAttempt, ClaimRefusal, ClaimStep};
+use crate::claim_client::ClaimClient;
+use crate::exchange::RequestBody;
+use crate::operations::{request_digest, OperationTable, StoredAnswer};
 use crate::reply::{Own, Reply};
 use nickeljunction_http::stream::RequestHead;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, OperationId, RecallAnswer, RecallCall};
@@ -37,8 +37,8 @@
 /// The table of this gateway's operations, and the way to claim them.
 pub struct Keyed {
     wheel: Wheel,
-    operations: Rc<RefCell<Operations>>,
-    claims: Rc<dyn Claims>,
+    operations: Rc<RefCell<OperationTable>>,
+    claims: Rc<dyn ClaimClient>,
     counts: Counts,
 }
 
@@ -82,8 +82,8 @@
         let Keyed { wheel, operations, .. } = &*self.keyed;
         match reply {
             Reply::Served(served) => {
-                if let Some(answer) = Answer::copy_of(served) {
-                    operations.borrow_mut().answer(wheel.now(), self.id, self.number, answer);
+                if let Some(answer) = StoredAnswer::from_response(served) {
+                    operations.borrow_mut().record_answer(wheel.now(), self.id, self.number, answer);
                 }
             }
             // It promises that no server has run it.
@@ -97,7 +97,7 @@
     fn drop(&mut self) {
         let (now, mut operations) = (self.keyed.wheel.now(), self.keyed.operations.borrow_mut());
         match self.exposed {
-            true => operations.doubt(now, self.id, self.number),
+            true => operations.mark_in_doubt(now, self.id, self.number),
             false => operations.release(now, self.id, self.number),
         }
     }
@@ -105,7 +105,11 @@
 
 impl Keyed {
     /// Claims by these operations' table.
-    pub fn new(wheel: Wheel, operations: Rc<RefCell<Operations>>, claims: Rc<dyn Claims>) -> Rc<Keyed> {
+    pub fn new(
+        wheel: Wheel,
+        operations: Rc<RefCell<OperationTable>>,
+        claims: Rc<dyn ClaimClient>,
+    ) -> Rc<Keyed> {
         Rc::new(Keyed { wheel, operations, claims, counts: Counts::default() })
     }
 
@@ -115,7 +119,7 @@
     }
 
     /// The table.
-    pub fn operations(&self) -> &Rc<RefCell<Operations>> {
+    pub fn operations(&self) -> &Rc<RefCell<OperationTable>> {
         &self.operations
     }
 
@@ -123,7 +127,7 @@
     pub fn note(&self) -> Option<String> {
         let (seen, Counts { granted, granted_ms, held, unanswered, silent }) =
             (self.operations.borrow().counts(), &self.counts);
-        let (remembered, answers, bytes) = self.operations.borrow().held();
+        let (remembered, answers, bytes) = self.operations.borrow().usage();
         (seen.claims > 0).then(|| {
             format!(
                 "event=operations claims={} granted={} granted_ms={:.0} held={} unanswered={} released={} answered={} in_doubt={} \
@@ -169,35 +173,36 @@
     ) -> Result<Claim, Reply> {
         let most_ms = (ask.route.aim_ms * CLAIM_PART).max(CLAIM_LEAST_MS);
         let until = (self.wheel.now() + most_ms).min(ask.arrived + ask.patience_ms);
-        let mut claiming = Claiming::new(operation.id, operation.request);
+        let mut claiming = ClaimAttempt::new(operation.id, operation.request);
         let mut step = self.begin(&mut claiming, ask, client).await;
         loop {
             step = match step {
-                Step::Claim(call) => {
+                ClaimStep::Claim(call) => {
                     let number = call.claimant.number;
                     let claim = Claim { keyed: self.clone(), id: operation.id, number, exposed: false };
                     let answer = self.ask_leader(&call, until).await;
                     let mut table = self.operations.borrow_mut();
-                    match claiming.claimed(self.wheel.now(), &mut table, answer) {
+                    match claiming.on_claim_answer(self.wheel.now(), &mut table, answer) {
                         None => return Ok(claim),
                         Some(next) => next,
                     }
                 }
-                Step::Recall(call) => {
+                ClaimStep::Recall(call) => {
                     let answer = self.await_holder(&call, ask, client).await;
                     let mut table = self.operations.borrow_mut();
-                    claiming.recalled(self.wheel.now(), &mut table, call.claimant, answer)
+                    claiming.on_recall_answer(self.wheel.now(), &mut table, call.claimant, answer)
                 }
-                Step::Refused(refusal) => return Err(refused(&refusal, ask)),
+                ClaimStep::Refused(refusal) => return Err(refused(&refusal, ask)),
             };
         }
     }
 
     /// What the request may do once no other one of its key is at work here, or its time is up.
-    async fn begin(&self, claiming: &mut Claiming, ask: &Ask, client: &Client) -> Step {
+    async fn begin(&self, claiming: &mut ClaimAttempt, ask: &Ask, client: &Client) -> ClaimStep {
         loop {
             let step = claiming.begin(self.wheel.now(), &mut self.operations.borrow_mut());
-            if step != Step::Refused(Refusal::AtWork) || !self.waits(ask, client, LOOK_MS).await {
+            if step != ClaimStep::Refused(ClaimRefusal::InProgress) || !self.waits(ask, client, LOOK_MS).await
+            {
                 return step;
             }
         }
@@ -255,20 +260,20 @@
         &self,
         head: &RequestHead,
         ask: &Ask,
-        body: &Body,
+        body: &RequestBody,
     ) -> Result<Option<Operation>, Own> {
         let keyed = self.keyed.borrow();
         let Some(keyed) = keyed.as_ref().filter(|_| ask.route.keyed) else { return Ok(None) };
         let key = head.headers.single("x-operation-key");
         let key = key.map_err(|_| Own::new(400, "two X-Operation-Key"))?;
         let Some(key) = key.filter(|key| !key.is_empty()) else { return Ok(None) };
-        if keyed.claims.cut_off() {
+        if keyed.claims.is_core_unreachable() {
             let error = "out of touch with the core, operations can not be claimed";
             return Err(Own::refusal(503, error, CUT_OFF_PAUSE_MS));
         }
         let body = match body {
-            Body::Whole(bytes) => Some(&bytes[..]),
-            Body::Streamed(_) => None,
+            RequestBody::Buffered(bytes) => Some(&bytes[..]),
+            RequestBody::Streamed(_) => None,
         };
         let id = OperationId::of(ask.tenant.as_ref().map(|tenant| &*tenant.name), key);
         Ok(Some(Operation { id, request: request_digest(&head.method, &head.target, body) }))
@@ -332,19 +337,21 @@
     cell.set(cell.get() + 1);
 }
 
-fn refused(refusal: &Refusal, ask: &Ask) -> Reply {
+fn refused(refusal: &ClaimRefusal, ask: &Ask) -> Reply {
     Reply::Own(match refusal {
-        Refusal::Answered(answer) => {
-            return answer.for_attempt(&ask.attempt_id).map_or_else(|| Reply::Own(in_doubt()), Reply::Served)
+        ClaimRefusal::Answered(answer) => {
+            return answer.to_response(&ask.attempt_id).map_or_else(|| Reply::Own(in_doubt()), Reply::Served)
         }
-        Refusal::AtWork => Own::refusal(409, "the operation is at work", AT_WORK_PAUSE_MS),
-        Refusal::InDoubt => in_doubt(),
-        Refusal::OtherRequest => Own::new(422, "the operation key was used for another request"),
-        Refusal::Full => Own::refusal(503, "too many operations are remembered", CUT_OFF_PAUSE_MS),
-        Refusal::Unanswered => {
+        ClaimRefusal::InProgress => Own::refusal(409, "the operation is at work", AT_WORK_PAUSE_MS),
+        ClaimRefusal::InDoubt => in_doubt(),
+        ClaimRefusal::OtherRequest => Own::new(422, "the operation key was used for another request"),
+        ClaimRefusal::TableFull => Own::refusal(503, "too many operations are remembered", CUT_OFF_PAUSE_MS),
+        ClaimRefusal::LeaderTimeout => {
             Own::refusal(503, "the core did not grant the operation in time", CLAIM_PAUSE_MS)
         }
-        Refusal::Overtaken => Own::refusal(503, "the operation is being claimed elsewhere", CLAIM_PAUSE_MS),
+        ClaimRefusal::TooManyConflicts => {
+            Own::refusal(503, "the operation is being claimed elsewhere", CLAIM_PAUSE_MS)
+        }
     })
 }
 
--- a/crates/edge/src/front/terminal.rs
+++ b/crates/edge/src/front/terminal.rs
@@ -2,7 +2,7 @@
 
 use super::lifecycle::Entry;
 use super::{count, Ask, Front};
-use crate::exchange::{Body, Part, Stream, MOST_WHOLE};
+use crate::exchange::{BodyPart, BodyStream, RequestBody, MAX_BUFFERED_BODY_BYTES};
 use crate::reply::{put_own, put_served, Follows, Hop, Own, Reply};
 use bytes::{Buf, Bytes, BytesMut};
 use nickeljunction_http::stream::{
@@ -55,16 +55,16 @@
 }
 
 /// Room for one more part; `None`: nobody takes it.
-type Room = Pin<Box<dyn Future<Output = Option<OwnedPermit<Part>>>>>;
+type Room = Pin<Box<dyn Future<Output = Option<OwnedPermit<BodyPart>>>>>;
 
 struct Upload {
     reader: BodyReader,
     /// The client keeps the connection.
     keep: bool,
     /// `None`: nobody wants the rest.
-    to: Option<mpsc::Sender<Part>>,
+    to: Option<mpsc::Sender<BodyPart>>,
     /// Parts without room yet; nothing more is read meanwhile.
-    backlog: VecDeque<Part>,
+    backlog: VecDeque<BodyPart>,
     room: Option<Room>,
 }
 
@@ -388,7 +388,7 @@
         if self.queue.iter().any(|waiting| waiting.large_answer) {
             return false;
         }
-        let short = matches!(head.framing, Framing::Length(length) if length <= MOST_WHOLE);
+        let short = matches!(head.framing, Framing::Length(length) if length <= MAX_BUFFERED_BODY_BYTES);
         short && !head.expects_continue() && self.front.repeats(head)
     }
 
@@ -404,11 +404,11 @@
             Err(own) => return self.turn_away(&head, own, Some(reader)),
         };
         if reader.is_complete() {
-            return self.start(head, ask, Body::Whole(Bytes::new()));
+            return self.start(head, ask, RequestBody::Buffered(Bytes::new()));
         }
         self.go_on = expects && self.from.is_empty();
         match framing {
-            Framing::Length(length) if length > MOST_WHOLE => {
+            Framing::Length(length) if length > MAX_BUFFERED_BODY_BYTES => {
                 self.upload(head, ask, reader, Some(length as u64), VecDeque::new())
             }
             _ => Reading::Whole(Box::new(Whole { head, ask, reader, held: BytesMut::new() })),
@@ -423,7 +423,7 @@
             (Some(reader), _) if reader.is_complete() => after(head.keep_alive),
             // A client that waits for a word before it sends its body may send none now.
             (Some(reader), Framing::Length(length))
-                if length <= MOST_WHOLE && head.keep_alive && !head.expects_continue() =>
+                if length <= MAX_BUFFERED_BODY_BYTES && head.keep_alive && !head.expects_continue() =>
             {
                 Reading::Discard(reader)
             }
@@ -438,7 +438,7 @@
     }
 
     /// Sets a request to work; the next state.
-    fn start(&mut self, head: RequestHead, ask: Ask, body: Body) -> Reading {
+    fn start(&mut self, head: RequestHead, ask: Ask, body: RequestBody) -> Reading {
         let next = after(head.keep_alive);
         let (to_head, minor) = (head.method == "HEAD", head.minor);
         let attempt_id = Some(ask.attempt_id.clone());
@@ -455,11 +455,11 @@
         ask: Ask,
         reader: BodyReader,
         length: Option<u64>,
-        backlog: VecDeque<Part>,
+        backlog: VecDeque<BodyPart>,
     ) -> Reading {
         let (to, parts) = mpsc::channel(PARTS);
         let keep = head.keep_alive;
-        self.start(head, ask, Body::Streamed(Some(Stream { length, parts }).into()));
+        self.start(head, ask, RequestBody::Streamed(Some(BodyStream { length, parts }).into()));
         Reading::Upload(Box::new(Upload { reader, keep, to: Some(to), backlog, room: None }))
     }
 
@@ -468,14 +468,14 @@
             match whole.reader.next(&mut self.from) {
                 Ok(Chunk::Part(part)) if whole.held.is_empty() && whole.reader.is_complete() => {
                     let Whole { head, ask, .. } = *whole;
-                    return (self.start(head, ask, Body::Whole(part)), true);
+                    return (self.start(head, ask, RequestBody::Buffered(part)), true);
                 }
-                Ok(Chunk::Part(part)) if whole.held.len() + part.len() > MOST_WHOLE => {
+                Ok(Chunk::Part(part)) if whole.held.len() + part.len() > MAX_BUFFERED_BODY_BYTES => {
                     let Whole { head, ask, reader, held } = *whole;
                     let mut backlog = VecDeque::new();
                     for mut bytes in [held.freeze(), part] {
                         while !bytes.is_empty() {
-                            backlog.push_back(Part::Data(bytes.split_to(bytes.len().min(MOST_PART))));
+                            backlog.push_back(BodyPart::Data(bytes.split_to(bytes.len().min(MOST_PART))));
                         }
                     }
                     return (self.upload(head, ask, reader, None, backlog), true);
@@ -483,7 +483,7 @@
                 Ok(Chunk::Part(part)) => whole.held.extend_from_slice(&part),
                 Ok(Chunk::End) => {
                     let Whole { head, ask, held, .. } = *whole;
-                    return (self.start(head, ask, Body::Whole(held.freeze())), true);
+                    return (self.start(head, ask, RequestBody::Buffered(held.freeze())), true);
                 }
                 Ok(Chunk::Incomplete) => return (Reading::Whole(whole), false),
                 Err(error) => return (self.turn_away(&whole.head, improper(&error), None), true),
@@ -522,12 +522,12 @@
             }
             match upload.reader.next(&mut self.from) {
                 Ok(Chunk::Part(part)) => {
-                    upload.backlog.push_back(Part::Data(part));
+                    upload.backlog.push_back(BodyPart::Data(part));
                     if upload.reader.is_complete() {
-                        upload.backlog.push_back(Part::End);
+                        upload.backlog.push_back(BodyPart::End);
                     }
                 }
-                Ok(Chunk::End) => upload.backlog.push_back(Part::End),
+                Ok(Chunk::End) => upload.backlog.push_back(BodyPart::End),
                 Ok(Chunk::Incomplete) => return (Reading::Upload(upload), false),
                 Err(error) => {
                     // No server has had it whole, and dropping the work tells the servers' side to let go.
@@ -607,7 +607,7 @@
 
     /// Passes a body on as it comes. `false`: it broke off; then nothing has been written that would make it look
     /// complete.
-    async fn pump(&mut self, mut out: BytesMut, mut stream: Stream) -> bool {
+    async fn pump(&mut self, mut out: BytesMut, mut stream: BodyStream) -> bool {
         let mut left = stream.length;
         loop {
             let part = match stream.parts.try_recv() {
@@ -621,8 +621,8 @@
                 }
             };
             let sent = match (part, &mut left) {
-                (Some(Part::Data(bytes)), _) if bytes.is_empty() => true,
-                (Some(Part::Data(bytes)), Some(left)) => match left.checked_sub(bytes.len() as u64) {
+                (Some(BodyPart::Data(bytes)), _) if bytes.is_empty() => true,
+                (Some(BodyPart::Data(bytes)), Some(left)) => match left.checked_sub(bytes.len() as u64) {
                     Some(rest) => {
                         *left = rest;
                         self.write(&mut out.split().chain(bytes)).await
@@ -630,16 +630,16 @@
                     // More than stated: the surplus would be taken for another answer.
                     None => false,
                 },
-                (Some(Part::Data(bytes)), None) => {
+                (Some(BodyPart::Data(bytes)), None) => {
                     put_chunk_size(&mut out, bytes.len());
                     self.write(&mut out.split().chain(bytes).chain(&b"\r\n"[..])).await
                 }
-                (Some(Part::End), Some(0)) => return self.write(&mut out).await,
-                (Some(Part::End), None) => {
+                (Some(BodyPart::End), Some(0)) => return self.write(&mut out).await,
+                (Some(BodyPart::End), None) => {
                     put_last_chunk(&mut out);
                     return self.write(&mut out).await;
                 }
-                (Some(Part::End), Some(_)) | (None, _) => false,
+                (Some(BodyPart::End), Some(_)) | (None, _) => false,
             };
             if !sent {
                 return false;
@@ -648,7 +648,7 @@
     }
 
     /// The next part; `None`: it broke off, or the client is gone. Meanwhile requests behind are at work.
-    fn poll_part(&mut self, context: &mut Context<'_>, stream: &mut Stream) -> Poll<Option<Part>> {
+    fn poll_part(&mut self, context: &mut Context<'_>, stream: &mut BodyStream) -> Poll<Option<BodyPart>> {
         if let Poll::Ready(part) = stream.parts.poll_recv(context) {
             return Poll::Ready(part);
         }
@@ -709,7 +709,9 @@
     /// What to read once nobody wants the body any more: a short rest is read over, so that the connection can stay.
     fn rest(self) -> Reading {
         match self.reader.stated_left() {
-            Some(left) if self.keep && left <= MOST_WHOLE as u64 => Reading::Discard(self.reader),
+            Some(left) if self.keep && left <= MAX_BUFFERED_BODY_BYTES as u64 => {
+                Reading::Discard(self.reader)
+            }
             _ => Reading::Over,
         }
     }
--- a/crates/edge/src/hedge.rs
+++ b/crates/edge/src/hedge.rs
@@ -21,14 +21,14 @@
 
 impl HedgeDelay {
     /// A call was answered after so many ms, from its own sending on.
-    pub fn answered(&mut self, ms: f64) {
+    pub fn record_latency(&mut self, ms: f64) {
         let (mean, deviation) = self.known.unwrap_or((ms, ms / DEVIATIONS));
         let off = ms - mean;
         self.known = Some((mean + GAIN * off, deviation + GAIN * (off.abs() - deviation)));
     }
 
     /// A call that is not answered after so many ms is made once more.
-    pub fn ms(&self) -> f64 {
+    pub fn delay_ms(&self) -> f64 {
         let (mean, deviation) = self.known.unwrap_or((FIRST_MS, 0.0));
         (mean + DEVIATIONS * deviation).clamp(LEAST_MS, MOST_MS)
     }
--- a/crates/edge/src/lease.rs
+++ b/crates/edge/src/lease.rs
@@ -24,20 +24,20 @@
     }
 
     /// The leader answered a call sent at `sent`, ms; a majority had agreed on it `age_ms` before it answered.
-    pub fn answered(&mut self, sent: f64, age_ms: f64) {
+    pub fn renew(&mut self, sent: f64, age_ms: f64) {
         let known = sent - age_ms;
         // Answers may overtake each other; knowledge doesn't get older by that.
         self.known_at = Some(self.known_at.map_or(known, |before| before.max(known)));
     }
 
     /// How old the knowledge is, ms; infinite before the first answer.
-    pub fn age(&self, now: f64) -> f64 {
+    pub fn age_ms(&self, now: f64) -> f64 {
         self.known_at.map_or(f64::INFINITY, |known| now - known)
     }
 
     /// The knowledge may be used.
-    pub fn holds(&self, now: f64) -> bool {
-        self.known_at.is_some() && self.holds_ms.is_none_or(|holds| self.age(now) < holds)
+    pub fn is_valid(&self, now: f64) -> bool {
+        self.known_at.is_some() && self.holds_ms.is_none_or(|holds| self.age_ms(now) < holds)
     }
 }
 
@@ -48,24 +48,24 @@
     #[test]
     fn a_key_is_never_taken_after_its_time_whatever_the_answer_said() {
         let mut lease = Lease::new(true, 5_000.0);
-        assert!(!lease.holds(0.0), "nothing is known yet");
+        assert!(!lease.is_valid(0.0), "nothing is known yet");
         // Sent at 1,000, held by the leader until 2,000, whose majority was heard 300 ms before.
-        lease.answered(1_000.0, 300.0);
-        assert!(lease.holds(5_000.0));
+        lease.renew(1_000.0, 300.0);
+        assert!(lease.is_valid(5_000.0));
         // A configuration acknowledged right after the majority's word, at the earliest at 700, binds from 5,700 on.
-        assert!(!lease.holds(5_601.0));
-        lease.answered(3_000.0, 0.0);
-        lease.answered(2_000.0, 0.0);
-        assert!(lease.holds(7_890.0), "an older answer takes nothing away");
-        assert!(!lease.holds(7_900.0));
+        assert!(!lease.is_valid(5_601.0));
+        lease.renew(3_000.0, 0.0);
+        lease.renew(2_000.0, 0.0);
+        assert!(lease.is_valid(7_890.0), "an older answer takes nothing away");
+        assert!(!lease.is_valid(7_900.0));
     }
 
     #[test]
     fn without_strictness_what_is_known_is_served_on() {
         let mut lease = Lease::new(false, 5_000.0);
-        assert!(!lease.holds(0.0));
-        lease.answered(0.0, 0.0);
-        assert!(lease.holds(1e9));
-        assert_eq!(lease.age(70.0), 70.0);
+        assert!(!lease.is_valid(0.0));
+        lease.renew(0.0, 0.0);
+        assert!(lease.is_valid(1e9));
+        assert_eq!(lease.age_ms(70.0), 70.0);
     }
 }
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -3,13 +3,13 @@
 mod claims;
 
 use crate::alarm::Alarm;
-use crate::exchange::{Admission, Admitted};
+use crate::exchange::{Admission, AdmissionDecision};
 use crate::hedge::HedgeDelay;
 use crate::lease::Lease;
 use crate::proxy::{Backend, Proxy};
-use crate::table::{Swap, Table};
-use crate::tenant_pacing::Ebb;
-use crate::upstream::Place;
+use crate::table::{SnapshotCell, Table};
+use crate::tenant_pacing::TenantPacing;
+use crate::upstream::Location;
 use crate::watch::{Call, Ended, Step, Watcher, CONNECT_MS, GIVE_UP_MS};
 use bytes::Bytes;
 use nickeljunction_messages::{
@@ -46,7 +46,7 @@
 /// What this gateway is, for the core.
 pub struct Own {
     /// Where it stands.
-    pub place: Place,
+    pub place: Location,
     /// Where clients reach it.
     pub front: String,
     /// Inner port of core machines.
@@ -82,13 +82,13 @@
     caller: Rc<Caller>,
     /// For watch calls, which may take their time.
     patient: Rc<Caller>,
-    table: Rc<Swap<Table>>,
+    table: Rc<SnapshotCell<Table>>,
     proxy: Rc<Proxy>,
     watcher: RefCell<Watcher>,
     copy: RefCell<WatchCache>,
     allowance: RefCell<Allowance>,
     lease: RefCell<Lease>,
-    ebb: Rc<Ebb>,
+    ebb: Rc<TenantPacing>,
     /// Of claims at the leader.
     claim_delay: Cell<HedgeDelay>,
     /// Of questions to other gateways.
@@ -112,7 +112,7 @@
         own: Own,
         wheel: Wheel,
         caller: Rc<Caller>,
-        table: Rc<Swap<Table>>,
+        table: Rc<SnapshotCell<Table>>,
         proxy: Rc<Proxy>,
         seeds: Vec<String>,
         seed: u64,
@@ -123,7 +123,7 @@
         let lease = Lease::new(own.bounds.revocation_strict, own.bounds.revoke_timeout_s * 1_000.0);
         let watcher = RefCell::new(Watcher::new(seeds, 0));
         let patient = Caller::within(wheel.clone(), CONNECT_MS);
-        let ebb = Rc::new(Ebb::new(wheel.clone()));
+        let ebb = Rc::new(TenantPacing::new(wheel.clone()));
         Rc::new(Link {
             own,
             wheel,
@@ -152,12 +152,12 @@
     pub fn ready(&self) -> bool {
         !self.leaving.get()
             && self.copy.borrow().catalog().version() > 0
-            && self.lease.borrow().holds(self.wheel.now())
+            && self.lease.borrow().is_valid(self.wheel.now())
     }
 
     /// It can't serve tenants' requests, or soon won't: the core has not been heard of for long.
     pub fn out_of_touch(&self) -> bool {
-        !self.ready() || self.lease.borrow().age(self.wheel.now()) > OUT_OF_TOUCH_MS
+        !self.ready() || self.lease.borrow().age_ms(self.wheel.now()) > OUT_OF_TOUCH_MS
     }
 
     /// This machine's name.
@@ -168,12 +168,12 @@
     /// The order to leave: the core is told at once.
     pub fn leave(&self) {
         self.leaving.set(true);
-        self.ebb.leave();
+        self.ebb.begin_shutdown();
         self.recall.notify_one();
     }
 
     /// What slows tenants here.
-    pub fn ebb(&self) -> &Rc<Ebb> {
+    pub fn ebb(&self) -> &Rc<TenantPacing> {
         &self.ebb
     }
 
@@ -229,7 +229,7 @@
             version: copy.catalog().version(),
             term: copy.term(),
             leader: self.watcher.borrow().leader().map(str::to_string),
-            age_ms: self.lease.borrow().age(now),
+            age_ms: self.lease.borrow().age_ms(now),
             units: self.allowance.borrow_mut().holdings(now as u64, MOST_LABELLED),
         }
     }
@@ -251,7 +251,7 @@
         let mut under_way: BTreeMap<u64, AbortHandle> = BTreeMap::new();
         loop {
             let now = self.wheel.now();
-            let known_ms = self.lease.borrow().age(now);
+            let known_ms = self.lease.borrow().age_ms(now);
             let steps = self.watcher.borrow_mut().poll(now, known_ms);
             for step in steps {
                 match step {
@@ -352,7 +352,7 @@
                 return Ended::Failed;
             }
         };
-        self.lease.borrow_mut().answered(sent, age);
+        self.lease.borrow_mut().renew(sent, age);
         let now = self.wheel.now();
         let catalog = self.copy.borrow().catalog();
         if applied.new_leader {
@@ -376,10 +376,10 @@
         if !applied.trials.is_empty() {
             // Stages count down from here; curves come with the configuration, which may be older.
             let config = catalog.config.as_ref().and_then(|config| Document::view(&config.document).ok());
-            self.ebb.told(&applied.trials, config.as_ref());
+            self.ebb.update_trials(&applied.trials, config.as_ref());
         }
         if applied.gateways {
-            self.proxy.fleet(catalog.gateway_count);
+            self.proxy.set_gateway_count(catalog.gateway_count);
             self.allowance.borrow_mut().set_gateway_count(catalog.gateway_count);
         }
         if applied.core {
@@ -417,8 +417,9 @@
             max_connections: backend.max_connections.unwrap_or(0),
             warmup_per_s: backend.warmup_per_s.unwrap_or(0.0),
         };
-        self.proxy
-            .backends(config.backends.iter().map(|(name, item)| (name.clone(), backend(item))).collect());
+        self.proxy.update_backends(
+            config.backends.iter().map(|(name, item)| (name.clone(), backend(item))).collect(),
+        );
         let bounds = &self.own.bounds;
         let limits = config.tenants.iter().filter_map(|(name, tenant)| {
             let (rate, burst) = tenant.quota()?;
@@ -426,7 +427,7 @@
             Some((name.clone(), Limit::with_default_margin(rate, burst, window, overrun, slack)?))
         });
         self.allowance.borrow_mut().set_limits(self.wheel.now() as u64, &limits.collect());
-        self.ebb.configured(config);
+        self.ebb.update_config(config);
         self.add_due.ring();
         log::info!("event=config version={} routes={}", config.config_version, config.routes.len());
     }
@@ -434,7 +435,7 @@
     /// Tells the servers' side which servers there are, and which cold ones this gateway may send to.
     fn tell_servers(&self) {
         let catalog = self.copy.borrow().catalog();
-        let known_ms = self.lease.borrow().age(self.wheel.now()) as u64;
+        let known_ms = self.lease.borrow().age_ms(self.wheel.now()) as u64;
         let name = &self.own.place.name;
         let mut permits = false;
         let line = |line: &Rc<ServerInfo>| {
@@ -451,12 +452,12 @@
         self.permits_told.set(permits);
         let evacuated: Vec<String> = catalog.evacuated_zones.iter().cloned().collect();
         let zones = self.own.zones.iter().map(|(zone, region)| (zone.clone(), region.clone())).collect();
-        self.proxy.servers(&lines, &evacuated, &zones);
+        self.proxy.update_servers(&lines, &evacuated, &zones);
     }
 
     /// Permits for cold servers end when the core is out of touch: it gives them to others.
     fn permits_age(&self) {
-        if self.permits_told.get() && self.lease.borrow().age(self.wheel.now()) >= 1_000.0 {
+        if self.permits_told.get() && self.lease.borrow().age_ms(self.wheel.now()) >= 1_000.0 {
             self.tell_servers();
         }
     }
@@ -493,7 +494,7 @@
                 let copy = self.copy.borrow();
                 // What this gateway knows was still the newest then.
                 if answer.version == copy.catalog().version() && answer.term >= copy.term() {
-                    self.lease.borrow_mut().answered(sent, answer.quorum_age_ms as f64);
+                    self.lease.borrow_mut().renew(sent, answer.quorum_age_ms as f64);
                 }
                 // There is a newer one, and the held call has not brought it.
                 if answer.version > copy.catalog().version() {
@@ -523,7 +524,7 @@
 }
 
 impl Admission for Link {
-    fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
+    fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>> {
         Box::pin(async move {
             let began = self.wheel.now();
             let until = began + WAIT_MS;
@@ -551,9 +552,11 @@
                         if from as f64 > now {
                             self.wheel.sleep_until(from as f64).await;
                         }
-                        return Admitted::Until(until as f64);
+                        return AdmissionDecision::Admitted(until as f64);
+                    }
+                    Spend::Refused { retry_after_ms } => {
+                        return AdmissionDecision::OverQuota(retry_after_ms as f64)
                     }
-                    Spend::Refused { retry_after_ms } => return Admitted::Beyond(retry_after_ms as f64),
                     Spend::Wait => {}
                 }
                 // At the time-out it is looked anew whether the call is under way.
@@ -563,15 +566,15 @@
         })
     }
 
-    fn also(&self, tenant: &str) -> bool {
+    fn take_extra_unit(&self, tenant: &str) -> bool {
         self.allowance.borrow_mut().spend_for_retry(self.wheel.now() as u64, tenant)
     }
 
-    fn stale(&self) -> Option<f64> {
-        (!self.lease.borrow().holds(self.wheel.now())).then_some(STALE_MS)
+    fn stale_retry_after_ms(&self) -> Option<f64> {
+        (!self.lease.borrow().is_valid(self.wheel.now())).then_some(STALE_MS)
     }
 
-    fn ebb(&self) -> Option<&Ebb> {
-        self.ebb.active().then_some(&*self.ebb)
+    fn pacing(&self) -> Option<&TenantPacing> {
+        self.ebb.is_active().then_some(&*self.ebb)
     }
 }
--- a/crates/edge/src/link/claims.rs
+++ b/crates/edge/src/link/claims.rs
@@ -1,7 +1,7 @@
 //! Claims at the leader, and questions to the gateways that hold claims.
 
 use super::Link;
-use crate::claim_client::{Awaited, Claims};
+use crate::claim_client::{CallFuture, ClaimClient};
 use crate::hedge::HedgeDelay;
 use nickeljunction_messages::{path, ClaimAnswer, ClaimCall, LeaderRedirect, RecallAnswer, RecallCall};
 use nickeljunction_net::caller::{CallError, Reply};
@@ -69,12 +69,13 @@
             let sent = self.wheel.now();
             let reply = self.caller.call(to, "POST", path, &[], body, until - sent).await?;
             let mut known = delay.get();
-            known.answered(self.wheel.now() - sent);
+            known.record_latency(self.wheel.now() - sent);
             delay.set(known);
             Ok(reply)
         };
         let mut first = pin!(call());
-        if let Some(ended) = self.wheel.timeout(delay.get().ms().min(timeout_ms), first.as_mut()).await {
+        if let Some(ended) = self.wheel.timeout(delay.get().delay_ms().min(timeout_ms), first.as_mut()).await
+        {
             return ended;
         }
         let mut second = pin!(call());
@@ -127,17 +128,17 @@
     }
 }
 
-impl Claims for Link {
-    fn claim<'a>(&'a self, call: &'a ClaimCall, until: f64) -> Awaited<'a, ClaimAnswer> {
+impl ClaimClient for Link {
+    fn claim<'a>(&'a self, call: &'a ClaimCall, until: f64) -> CallFuture<'a, ClaimAnswer> {
         Box::pin(self.claim_until(call, until))
     }
 
-    fn recall<'a>(&'a self, call: &'a RecallCall, timeout_ms: f64) -> Awaited<'a, RecallAnswer> {
+    fn recall<'a>(&'a self, call: &'a RecallCall, timeout_ms: f64) -> CallFuture<'a, RecallAnswer> {
         Box::pin(self.recall_at(call, timeout_ms))
     }
 
-    fn cut_off(&self) -> bool {
-        let age_ms = self.lease.borrow().age(self.wheel.now());
+    fn is_core_unreachable(&self) -> bool {
+        let age_ms = self.lease.borrow().age_ms(self.wheel.now());
         age_ms > CUT_OFF_PART * self.own.bounds.revoke_timeout_s * 1_000.0
     }
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -35,7 +35,7 @@
     fn operations(&self, page: &mut Page) {
         let keyed = self.front.keyed();
         let table = keyed.as_ref().map(|keyed| keyed.operations().borrow());
-        let (remembered, answers, bytes) = table.as_ref().map_or((0, 0, 0), |table| table.held());
+        let (remembered, answers, bytes) = table.as_ref().map_or((0, 0, 0), |table| table.usage());
         let (claims, recalls) =
             table.as_ref().map_or((0, 0), |table| (table.counts().claims, table.counts().recalls));
         let (counter, gauge) = (Kind::Counter, Kind::Gauge);
@@ -81,7 +81,7 @@
             "edge_requests_in_flight",
             Kind::Gauge,
             "Requests that are owed an answer, and answers under way.",
-            self.proxy.busy() as f64,
+            self.proxy.active_requests() as f64,
         );
     }
 
@@ -164,7 +164,7 @@
     }
 
     fn trials(&self, page: &mut Page) {
-        let standings = self.link.ebb().standings();
+        let standings = self.link.ebb().tenant_statuses();
         let standings = &standings[..standings.len().min(MOST_LABELLED)];
         let mut each = |name: &'static str, kind: Kind, help: &str, value: &dyn Fn(&TenantStatus) -> f64| {
             page.figure(name, kind, help);
@@ -189,8 +189,8 @@
     use super::*;
     use crate::link::Own;
     use crate::proxy::Tuning;
-    use crate::table::{Swap, Table};
-    use crate::upstream::Place;
+    use crate::table::{SnapshotCell, Table};
+    use crate::upstream::Location;
     use nickeljunction_net::budget::Budget;
     use nickeljunction_net::caller::Caller;
     use nickeljunction_net::clock::Clock;
@@ -210,10 +210,10 @@
     #[test]
     fn the_page_reads_as_the_format_wants_and_names_stay() {
         let wheel = Wheel::new(Clock::start());
-        let place = Place { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
+        let place = Location { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
         let budget = Budget::new(64);
         let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), 1, Tuning::default());
-        let table = Rc::new(Swap::new(Table::empty()));
+        let table = Rc::new(SnapshotCell::new(Table::empty()));
         let own = Own {
             place,
             front: "127.0.0.1:1".into(),
--- a/crates/edge/src/operations.rs
+++ b/crates/edge/src/operations.rs
@@ -15,12 +15,12 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use crate::exchange::{Served, ServedBody};
+use crate::exchange::{ResponseBody, ServerResponse};
 
 /// Most bytes of answers that are kept; beyond that the oldest are dropped.
-pub const MOST_KEPT_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 /// Most operations that are remembered.
-pub const MOST_OPERATIONS: usize = 32 * 1024;
+pub const MAX_OPERATIONS: usize = 32 * 1024;
 /// An operation is remembered for so long beyond the window in which repeats come, ms.
 const BEYOND_WINDOW_MS: f64 = 30_000.0;
 /// What a kept answer takes beside its lines and its body, bytes.
@@ -44,17 +44,17 @@
 
 /// A server's answer that is kept for repeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct StoredAnswer {
     status: u16,
     /// Header lines with their ends, but for `X-Attempt-Id`.
     lines: String,
     body: Bytes,
 }
 
-impl Answer {
+impl StoredAnswer {
     /// A copy of an answer; `None`: its body is streamed, or a line of it is no text.
-    pub fn copy_of(served: &Served) -> Option<Answer> {
-        let ServedBody::Whole(body) = &served.body else { return None };
+    pub fn from_response(served: &ServerResponse) -> Option<StoredAnswer> {
+        let ResponseBody::Buffered(body) = &served.body else { return None };
         let mut lines = String::new();
         for (name, value) in served.headers.passed_on() {
             if !name.eq_ignore_ascii_case("x-attempt-id") {
@@ -62,18 +62,22 @@
             }
         }
         // Copied: a part of a read buffer would hold the whole buffer.
-        Some(Answer { status: served.status, lines, body: Bytes::copy_from_slice(body) })
+        Some(StoredAnswer { status: served.status, lines, body: Bytes::copy_from_slice(body) })
     }
 
     /// The answer as the client of this try gets it; `None`: what another gateway sent can't be read.
-    pub fn for_attempt(&self, attempt_id: &str) -> Option<Served> {
-        let Answer { status, lines, body } = self;
+    pub fn to_response(&self, attempt_id: &str) -> Option<ServerResponse> {
+        let StoredAnswer { status, lines, body } = self;
         let head = format!(
             "HTTP/1.1 {status} Kept\r\n{lines}X-Attempt-Id: {attempt_id}\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
         let head = read_answer_head(&mut BytesMut::from(head.as_bytes()), 2 * MOST_HEAD, false).ok()??;
-        Some(Served { status: *status, headers: head.headers, body: ServedBody::Whole(body.clone()) })
+        Some(ServerResponse {
+            status: *status,
+            headers: head.headers,
+            body: ResponseBody::Buffered(body.clone()),
+        })
     }
 
     /// As it goes to another gateway.
@@ -87,10 +91,10 @@
     }
 
     /// As it came from another gateway.
-    pub fn from_message(message: &KeptAnswer) -> Option<Answer> {
+    pub fn from_message(message: &KeptAnswer) -> Option<StoredAnswer> {
         let lines = message.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
         let body = STANDARD.decode(&message.body).ok()?.into();
-        Some(Answer { status: message.status, lines, body })
+        Some(StoredAnswer { status: message.status, lines, body })
     }
 
     fn bytes(&self) -> usize {
@@ -101,10 +105,10 @@
 #[derive(Debug, Clone)]
 enum State {
     /// Being claimed, or at a server.
-    AtWork,
+    InProgress,
     /// It ran nowhere, and this claim's number will never be used.
     Released,
-    Answered(Rc<Answer>),
+    Answered(Rc<StoredAnswer>),
     InDoubt,
 }
 
@@ -121,7 +125,7 @@
 
 /// What a request under a key may do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Begun {
+pub enum BeginResult {
     /// Claim the operation.
     Claim {
         /// Under this number, which is at work from now on.
@@ -130,9 +134,9 @@
         released: Option<Claimant>,
     },
     /// Come back later.
-    AtWork,
+    InProgress,
     /// Have the first run's answer.
-    Answered(Rc<Answer>),
+    Answered(Rc<StoredAnswer>),
     /// Nothing: it may have run.
     InDoubt,
     /// Nothing: the key was used for another request.
@@ -143,7 +147,7 @@
 
 /// What a table has seen since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct OperationCounts {
     /// Claims begun.
     pub claims: u64,
     /// Claims that were released.
@@ -162,7 +166,7 @@
 
 /// The table. Times are ms of the program's clock.
 #[derive(Debug, Clone)]
-pub struct Operations {
+pub struct OperationTable {
     host: Ipv4Addr,
     life: u64,
     next_number: u64,
@@ -175,70 +179,71 @@
     kept: VecDeque<(OperationId, u64)>,
     kept_bytes: usize,
     kept_answers: usize,
-    counts: Counts,
+    counts: OperationCounts,
 }
 
-impl Operations {
+impl OperationTable {
     /// A table of the process of this life on this host; repeats come within `window_ms`.
-    pub fn new(host: Ipv4Addr, life: u64, window_ms: f64) -> Operations {
-        Operations {
+    pub fn new(host: Ipv4Addr, life: u64, window_ms: f64) -> OperationTable {
+        OperationTable {
             host,
             life,
             next_number: 1,
             remembered_ms: window_ms + BEYOND_WINDOW_MS,
-            most_kept_bytes: MOST_KEPT_BYTES,
+            most_kept_bytes: MAX_ANSWER_BYTES,
             records: HashMap::new(),
             ended: VecDeque::new(),
             kept: VecDeque::new(),
             kept_bytes: 0,
             kept_answers: 0,
-            counts: Counts::default(),
+            counts: OperationCounts::default(),
         }
     }
 
     /// The same with another bound of the bytes of kept answers.
-    pub fn keeping(self, most_kept_bytes: usize) -> Operations {
-        Operations { most_kept_bytes, ..self }
+    pub fn with_max_answer_bytes(self, most_kept_bytes: usize) -> OperationTable {
+        OperationTable { most_kept_bytes, ..self }
     }
 
     /// What has been seen since the start.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> OperationCounts {
         self.counts
     }
 
     /// Operations that are remembered, answers that are kept, and their bytes.
-    pub fn held(&self) -> (usize, usize, usize) {
+    pub fn usage(&self) -> (usize, usize, usize) {
         (self.records.len(), self.kept_answers, self.kept_bytes)
     }
 
     /// A request under a key: what it may do.
-    pub fn begin(&mut self, now: f64, operation: OperationId, request: u64) -> Begun {
+    pub fn begin(&mut self, now: f64, operation: OperationId, request: u64) -> BeginResult {
         self.forget(now);
         let (mut first, mut released) = (self.next_number, None);
         if let Some(record) = self.records.get(&operation) {
             if record.request != request && !matches!(record.state, State::Released) {
-                return Begun::OtherRequest;
+                return BeginResult::OtherRequest;
             }
             match &record.state {
-                State::AtWork => return Begun::AtWork,
-                State::InDoubt => return Begun::InDoubt,
+                State::InProgress => return BeginResult::InProgress,
+                State::InDoubt => return BeginResult::InDoubt,
                 State::Answered(answer) => {
                     self.counts.repeated += 1;
-                    return Begun::Answered(answer.clone());
+                    return BeginResult::Answered(answer.clone());
                 }
                 State::Released => {
                     first = record.first;
                     released = Some(self.claimant(record.number));
                 }
             }
-        } else if self.records.len() >= MOST_OPERATIONS {
-            return Begun::Full;
+        } else if self.records.len() >= MAX_OPERATIONS {
+            return BeginResult::Full;
         }
         let number = self.next_number;
         self.next_number += 1;
         self.counts.claims += 1;
-        self.records.insert(operation, Record { first, number, request, state: State::AtWork, since: now });
-        Begun::Claim { claimant: self.claimant(number), released }
+        self.records
+            .insert(operation, Record { first, number, request, state: State::InProgress, since: now });
+        BeginResult::Claim { claimant: self.claimant(number), released }
     }
 
     fn claimant(&self, number: u64) -> Claimant {
@@ -253,7 +258,7 @@
     }
 
     /// This claim's run ended with an answer.
-    pub fn answer(&mut self, now: f64, operation: OperationId, number: u64, answer: Answer) {
+    pub fn record_answer(&mut self, now: f64, operation: OperationId, number: u64, answer: StoredAnswer) {
         let bytes = answer.bytes();
         if !self.end(now, operation, number, State::Answered(Rc::new(answer))) {
             return;
@@ -269,7 +274,7 @@
     }
 
     /// Nobody knows whether this claim's run took place, or its answer can't be kept.
-    pub fn doubt(&mut self, now: f64, operation: OperationId, number: u64) {
+    pub fn mark_in_doubt(&mut self, now: f64, operation: OperationId, number: u64) {
         if self.end(now, operation, number, State::InDoubt) {
             self.counts.in_doubt += 1;
         }
@@ -279,7 +284,7 @@
     fn end(&mut self, now: f64, operation: OperationId, number: u64, state: State) -> bool {
         let record = self.records.get_mut(&operation);
         let at_work =
-            record.filter(|record| record.number == number && matches!(record.state, State::AtWork));
+            record.filter(|record| record.number == number && matches!(record.state, State::InProgress));
         let Some(record) = at_work else { return false };
         (record.state, record.since) = (state, now);
         self.ended.push_back((operation, number));
@@ -301,13 +306,13 @@
     pub fn recall(&mut self, now: f64, call: &RecallCall) -> RecallAnswer {
         self.forget(now);
         self.counts.recalls += 1;
-        self.look(call)
+        self.lookup(call)
     }
 
     /// What became of a claim.
-    pub fn look(&self, call: &RecallCall) -> RecallAnswer {
+    pub fn lookup(&self, call: &RecallCall) -> RecallAnswer {
         let RecallCall { operation, claimant, request_digest: request } = call;
-        let record = self.records.get(operation).filter(|_| self.own(claimant));
+        let record = self.records.get(operation).filter(|_| self.is_own_claim(claimant));
         let Some(record) = record else { return RecallAnswer::InDoubt };
         if (record.first..record.number).contains(&claimant.number) {
             return RecallAnswer::Released;
@@ -318,19 +323,19 @@
         match &record.state {
             State::Released => RecallAnswer::Released,
             _ if record.request != *request => RecallAnswer::OtherRequest,
-            State::AtWork => RecallAnswer::InProgress,
+            State::InProgress => RecallAnswer::InProgress,
             State::InDoubt => RecallAnswer::InDoubt,
             State::Answered(answer) => RecallAnswer::Answered(answer.to_message()),
         }
     }
 
     /// This process made the claim.
-    pub fn own(&self, claimant: &Claimant) -> bool {
+    pub fn is_own_claim(&self, claimant: &Claimant) -> bool {
         (claimant.host, claimant.incarnation) == (self.host, self.life)
     }
 
     /// A request here got an answer that another gateway keeps.
-    pub fn repeated(&mut self) {
+    pub fn record_repeat(&mut self) {
         self.counts.repeated += 1;
     }
 
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -1,7 +1,7 @@
 //! Kept connections to servers, by instance id: connections are dear to servers, and a request that crosses the close of one
 //! may have run for all this side can tell.
 
-use crate::exchange_state::{Carried, Flaw};
+use crate::exchange_state::{ConnectionHistory, InvalidAnswer};
 use nickeljunction_core::facade::Outcome;
 use nickeljunction_http::HttpError;
 use nickeljunction_net::budget::{Budget, Slot};
@@ -85,10 +85,10 @@
 
 impl SendError {
     /// What came was no answer to the request.
-    pub(crate) fn flaw(peer: SocketAddr, flaw: Flaw) -> SendError {
+    pub(crate) fn flaw(peer: SocketAddr, flaw: InvalidAnswer) -> SendError {
         match flaw {
-            Flaw::Garbled(error) => SendError::Garbled(peer, error),
-            Flaw::Foreign(what) => SendError::Foreign(peer, what),
+            InvalidAnswer::Malformed(error) => SendError::Garbled(peer, error),
+            InvalidAnswer::Mismatch(what) => SendError::Foreign(peer, what),
         }
     }
 
@@ -127,7 +127,7 @@
     pub(crate) stream: TcpStream,
     pub(crate) peer: SocketAddr,
     /// What has gone out on it.
-    pub(crate) carried: Carried,
+    pub(crate) carried: ConnectionHistory,
     keep_ms: f64,
     since: f64,
     _share: Share,
@@ -294,7 +294,7 @@
         Ok(Link {
             stream,
             peer,
-            carried: Carried::default(),
+            carried: ConnectionHistory::default(),
             keep_ms: KEEP_MS,
             since: self.wheel.now(),
             _share: share,
--- a/crates/edge/src/preference.rs
+++ b/crates/edge/src/preference.rs
@@ -15,7 +15,7 @@
 const FRACTION_BITS: u32 = 53;
 
 /// A server's place in the order of this gateway: lower ones are preferred. The same in every process and version.
-pub fn order(gateway: &str, server: &str, slots: u32) -> f64 {
+pub fn rendezvous_rank(gateway: &str, server: &str, slots: u32) -> f64 {
     let mut hasher = SipHasher13::new();
     hasher.write(gateway.as_bytes());
     hasher.write_u8(SEPARATOR);
@@ -27,6 +27,6 @@
 }
 
 /// Fewest servers that each of `gateways` must use for all of `servers` to be used: all of them where gateways are few.
-pub fn subset_least(servers: usize, gateways: f64) -> f64 {
+pub fn min_subset_size(servers: usize, gateways: f64) -> f64 {
     (servers as f64 * GATEWAYS_PER_SERVER / gateways.max(1.0)).ceil().min(servers as f64)
 }
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -6,15 +6,17 @@
 //! further sends or beyond a cold server's rate.
 
 use crate::attempt::{attempt, Load};
-use crate::budget::{Permits, GATEWAYS_ASSUMED};
-use crate::exchange::{Admission, Dispatch, Exchange, Served};
-use crate::exchange_state::{Sends, Withheld};
+use crate::budget::{SendPacer, DEFAULT_GATEWAY_COUNT};
+use crate::exchange::{Admission, Dispatch, Exchange, ServerResponse};
+use crate::exchange_state::{SendCounts, SendDenial};
 use crate::overflow::Overflow;
 use crate::pool::Pool;
 use crate::proxy_context::{Book, Shared};
 use crate::selection;
 use crate::shutdown::Shutdown;
-use crate::upstream::{near, own_slots, usable, weight, Place, Upstream};
+use crate::upstream::{
+    local_region_slots, locality_distance, locality_weight, usable_upstreams, Location, Upstream,
+};
 use nickeljunction_core::facade::{
     Class, DedupScope, Facade, Intake, Outcome, RegionEntry, RequestKey, RetrySafety, RoutedTask,
     ServiceTable, Settings,
@@ -60,21 +62,21 @@
 
 impl Ports for World {
     type Content = Rc<Load>;
-    type Served = Served;
+    type Served = ServerResponse;
 
     fn route(&mut self, task: &RoutedTask, load: &Rc<Load>, _limit_ms: f64) {
         let left = load.is_left();
-        let permit = if left { Err(Withheld::ClientGone) } else { self.shared.permit(load, &task.region) };
+        let permit = if left { Err(SendDenial::ClientGone) } else { self.shared.permit(load, &task.region) };
         let further = match permit {
             Ok(further) => further,
             Err(withheld) => {
                 load.withheld.set(Some(withheld));
-                log::debug!("event=not_sent server={} why=\"{}\"", task.region, withheld.why());
+                log::debug!("event=not_sent server={} why=\"{}\"", task.region, withheld.reason());
                 return self.late.push((task.request, task.attempt, left));
             }
         };
         let first = load.sends().begun() == 0;
-        load.note(Sends::begin);
+        load.note(SendCounts::begin);
         self.shared.count(|counts| *(if first { &mut counts.sends } else { &mut counts.repeats }) += 1);
         let (Some(proxy), Some(lane)) = (self.proxy.upgrade(), self.lane.upgrade()) else { return };
         let send = proxy.send(lane, task.clone(), load.clone(), further);
@@ -107,9 +109,12 @@
         });
     }
 
-    fn answer(&mut self, load: Rc<Load>, answer: Answer<Served>) {
+    fn answer(&mut self, load: Rc<Load>, answer: Answer<ServerResponse>) {
         if matches!(answer, Answer::ShortOnCapacityReply(_)) && load.found_no_room() {
-            self.lane.upgrade().into_iter().for_each(|lane| lane.note(|overflow| overflow.sent(false)));
+            self.lane
+                .upgrade()
+                .into_iter()
+                .for_each(|lane| lane.note(|overflow| overflow.record_send(false)));
         }
         load.answer(answer);
     }
@@ -120,7 +125,7 @@
         self.shared.pool.close_idle(server);
     }
 
-    fn status(served: &Served) -> u16 {
+    fn status(served: &ServerResponse) -> u16 {
         served.status
     }
 }
@@ -186,7 +191,7 @@
 impl Proxy {
     /// The servers' side of the gateway at this place; `seed` should differ between gateways and starts. It takes its
     /// turns only while [`Proxy::run`] is polled, on the `LocalSet` that polls [`Dispatch::dispatch`], too.
-    pub fn new(wheel: Wheel, budget: Rc<Budget>, here: Place, seed: u64, tuning: Tuning) -> Rc<Proxy> {
+    pub fn new(wheel: Wheel, budget: Rc<Budget>, here: Location, seed: u64, tuning: Tuning) -> Rc<Proxy> {
         let pool = Pool::new(wheel.clone(), budget);
         let (book, counts, cold_used) = (RefCell::default(), Cell::default(), Cell::default());
         let (shutdown, units) = (Cell::new(None), RefCell::new(None));
@@ -205,20 +210,25 @@
     }
 
     /// Further sends take units here.
-    pub fn units(&self, units: Weak<dyn Admission>) {
+    pub fn set_admission(&self, units: Weak<dyn Admission>) {
         *self.shared.units.borrow_mut() = Some(units);
     }
 
     /// The order to leave: from now on no send is broken off for lack of time while its client waits, not even for another
     /// send; none begins that can't be expected to end in time, and servers are told to stop before the process does.
-    pub fn leave(&self, shutdown: Shutdown) {
+    pub fn begin_shutdown(&self, shutdown: Shutdown) {
         self.shared.shutdown.set(Some(shutdown));
     }
 
     /// Takes the whole list of servers, the zones that are evacuated, and the region of each zone.
-    pub fn servers(&self, lines: &[ServerInfo], evacuated: &[String], regions: &HashMap<String, String>) {
+    pub fn update_servers(
+        &self,
+        lines: &[ServerInfo],
+        evacuated: &[String],
+        regions: &HashMap<String, String>,
+    ) {
         let evacuated: HashSet<String> = evacuated.iter().cloned().collect();
-        let upstreams = usable(lines, &evacuated, regions, &self.shared.here);
+        let upstreams = usable_upstreams(lines, &evacuated, regions, &self.shared.here);
         let upstreams = upstreams.into_iter().map(|upstream| (upstream.id.clone(), upstream)).collect();
         {
             let mut book = self.shared.book.borrow_mut();
@@ -231,13 +241,13 @@
     }
 
     /// Takes what the configuration says of each service.
-    pub fn backends(&self, backends: HashMap<String, Backend>) {
+    pub fn update_backends(&self, backends: HashMap<String, Backend>) {
         self.shared.book.borrow_mut().backends = backends;
         self.follow();
     }
 
     /// Takes the number of gateways, among which slack and connections are divided.
-    pub fn fleet(&self, gateways: u32) {
+    pub fn set_gateway_count(&self, gateways: u32) {
         self.shared.book.borrow_mut().gateways = Some(gateways.max(1));
         self.follow();
     }
@@ -256,14 +266,14 @@
                 let most = backend.map_or(0, |backend| backend.max_connections);
                 let share = match most {
                     0 => CONNECTIONS_ASSUMED,
-                    most => (most / gateways.unwrap_or(GATEWAYS_ASSUMED)).max(1),
+                    most => (most / gateways.unwrap_or(DEFAULT_GATEWAY_COUNT)).max(1),
                 };
                 let near = upstream.region == self.shared.here.region;
                 let connect_ms = if near { tuning.connect_ms } else { tuning.connect_far_ms };
                 pool.follow(id, upstream.address, connect_ms, share as usize);
                 if upstream.cold {
                     let per_s = backend.map_or(0.0, |backend| backend.warmup_per_s);
-                    let permits = permits.entry(id.clone()).or_insert_with(|| Permits::new(now, per_s));
+                    let permits = permits.entry(id.clone()).or_insert_with(|| SendPacer::new(now, per_s));
                     permits.set_rate(now, per_s);
                 }
             }
@@ -307,22 +317,22 @@
         let reached = upstreams.iter().copied();
         let reached =
             reached.filter(|upstream| book.unreached.get(&upstream.id).is_none_or(|until| now >= *until));
-        let own = own_slots(reached, &lane.homes, here);
+        let own = local_region_slots(reached, &lane.homes, here);
         lane.own_slots.set(own);
         let mut overflow = lane.overflow.get();
-        let wide = overflow.decide(own);
+        let wide = overflow.update(own);
         lane.overflow.set(overflow);
         let nearness = &self.shared.tuning.nearness;
-        let weigh = |upstream: &Upstream| weight(upstream, &lane.homes, here, nearness, wide);
+        let weigh = |upstream: &Upstream| locality_weight(upstream, &lane.homes, here, nearness, wide);
         let new: BTreeMap<String, f64> =
             upstreams.iter().filter_map(|upstream| Some((upstream.id.clone(), weigh(upstream)?))).collect();
         let usable = upstreams.iter().copied().filter(|upstream| new.contains_key(&upstream.id));
-        lane.subset_wanted.set(scope.subset_least(usable, here));
+        lane.subset_wanted.set(scope.min_subset_size(usable, here));
         let mut old = lane.table.borrow_mut();
         let gone = old.iter().filter(|(id, _)| !new.contains_key(*id));
-        let gone = gone.map(|(id, weight)| selection::withdrawn(id, book.upstreams.get(id), *weight));
+        let gone = gone.map(|(id, weight)| selection::withdrawn_entry(id, book.upstreams.get(id), *weight));
         let changed = new.iter().filter(|(id, weight)| old.get(*id) != Some(*weight));
-        let changed = changed.map(|(id, weight)| selection::ready(&book.upstreams[id], here, *weight));
+        let changed = changed.map(|(id, weight)| selection::ready_entry(&book.upstreams[id], here, *weight));
         let regions: Vec<RegionEntry> = gone.chain(changed).collect();
         *old = new;
         ServiceTable { rev: 0, all: false, regions }
@@ -379,7 +389,7 @@
     /// When the next cold server may be sent to again, ms.
     fn permit_due(&self) -> f64 {
         let (now, book) = (self.shared.now_ms(), self.shared.book.borrow());
-        let next = book.permits.values().map(Permits::next).filter(|next| *next > now && *next < u64::MAX);
+        let next = book.permits.values().map(SendPacer::next).filter(|next| *next > now && *next < u64::MAX);
         next.min().map_or(f64::INFINITY, |next| next as f64)
     }
 
@@ -420,7 +430,7 @@
         for lane in &lanes {
             let open = lane.core.borrow().unanswered();
             if open == 0 {
-                lane.note(Overflow::idle);
+                lane.note(Overflow::decay);
             }
             self.drive(lane, |core, now| {
                 for difference in core.audit(now) {
@@ -471,7 +481,13 @@
 
     fn settings(&self, classes: &[LaneClass], max_attempts: u32, subset_least: f64) -> Settings {
         let classes = classes.iter().map(|known| known.class.clone()).collect();
-        selection::settings(&self.shared.tuning, &self.shared.here, classes, max_attempts, subset_least)
+        selection::decision_settings(
+            &self.shared.tuning,
+            &self.shared.here,
+            classes,
+            max_attempts,
+            subset_least,
+        )
     }
 
     /// Tells a lane's core how many servers to choose among, if that has changed.
@@ -494,8 +510,8 @@
     /// The class of a request, by its name in the lane; the module is told of new ones.
     fn class(&self, lane: &Rc<Lane>, exchange: &Exchange) -> String {
         // One that may go to a single server is not repeated, nor cut short in the hope of it.
-        let repeat = if exchange.max_attempts <= 1 { RetrySafety::AtMostOnce } else { exchange.repeat };
-        let (aim_ms, priority) = (exchange.aim_ms.max(1.0), exchange.priority);
+        let repeat = if exchange.max_attempts <= 1 { RetrySafety::AtMostOnce } else { exchange.retry_safety };
+        let (aim_ms, priority) = (exchange.target_latency_ms.max(1.0), exchange.priority);
         let fits = |known: &LaneClass| {
             known.repeat == repeat && known.aim_ms == aim_ms && known.priority == priority
         };
@@ -512,7 +528,7 @@
                 let class = Class {
                     name: format!("{repeat:?}/{aim_ms}/{priority}"),
                     target_latency_ms: aim_ms,
-                    client_timeout_ms: exchange.patience_ms,
+                    client_timeout_ms: exchange.timeout_ms,
                     retry_safety: repeat,
                     dedup_scope: DedupScope::All,
                     key_ttl_ms: 0.0,
@@ -525,9 +541,9 @@
             }
         };
         // Later tries come with less time left than first ones: the longest wait is the client's whole.
-        if exchange.patience_ms > classes[at].class.client_timeout_ms * PATIENCE_STEP {
+        if exchange.timeout_ms > classes[at].class.client_timeout_ms * PATIENCE_STEP {
             changed = true;
-            classes[at].class.client_timeout_ms = exchange.patience_ms;
+            classes[at].class.client_timeout_ms = exchange.timeout_ms;
         }
         let name = classes[at].class.name.clone();
         drop(classes);
@@ -562,7 +578,7 @@
         };
         if matches!(ended.outcome, Outcome::CouldNotConnect | Outcome::NotSent) {
             // Nothing of it has arrived anywhere.
-            load.note(Sends::unsent);
+            load.note(SendCounts::cancel);
             if let Some(at) = further {
                 let mut book = self.shared.book.borrow_mut();
                 book.budgets.get_mut(&load.backend).into_iter().for_each(|budget| budget.unsent(at));
@@ -572,7 +588,7 @@
             // Told before the end is: where the region has no other server, the next send finds those of others.
             let until = wheel.now() + UNREACHED_MS;
             self.shared.book.borrow_mut().unreached.insert(task.region.clone(), until);
-            if !lane.overflow.get().wide() {
+            if !lane.overflow.get().is_wide() {
                 self.tables();
             }
         } else if ended.outcome != Outcome::NotSent {
@@ -598,7 +614,7 @@
             wheel.timeout(left, rest.pass_on(&self.shared.pool)).await;
         }
         drop(load);
-        if self.busy() == 0 {
+        if self.active_requests() == 0 {
             self.freed.notify_waiters();
         }
     }
@@ -610,18 +626,18 @@
             Outcome::TurnedAway | Outcome::Reset | Outcome::TimedOut => false,
             Outcome::CouldNotConnect | Outcome::Spoilt | Outcome::CalledOff | Outcome::NotSent => return,
         };
-        let own = |upstream: &Upstream| near(upstream, &self.shared.here) < FAR;
+        let own = |upstream: &Upstream| locality_distance(upstream, &self.shared.here) < FAR;
         if !self.shared.book.borrow().upstreams.get(server).is_some_and(own) {
             return;
         }
-        lane.note(|overflow| overflow.sent(room));
+        lane.note(|overflow| overflow.record_send(room));
         let overflow = lane.overflow.get();
-        if overflow.wants_wide(lane.own_slots.get()) != overflow.wide() {
+        if overflow.should_be_wide(lane.own_slots.get()) != overflow.is_wide() {
             self.tables();
         }
     }
 
-    fn ended(&self, lane: &Rc<Lane>, task: &RoutedTask, outcome: Outcome, served: Option<Served>) {
+    fn ended(&self, lane: &Rc<Lane>, task: &RoutedTask, outcome: Outcome, served: Option<ServerResponse>) {
         let (request, attempt) = (task.request, task.attempt);
         self.drive(lane, |core, now| {
             if core.ports().out.remove(&(request, attempt)).is_some() {
@@ -632,13 +648,13 @@
     }
 
     /// Requests that are owed an answer or have an attempt out, and answers that are being passed on.
-    pub fn busy(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         Rc::strong_count(&self.held) - 1
     }
 
     /// Ready when nothing is under way; what still comes in begins anew.
-    pub async fn idle(&self) {
-        while self.busy() > 0 {
+    pub async fn wait_until_idle(&self) {
+        while self.active_requests() > 0 {
             let freed = self.freed.notified();
             // Requests that end without a send tell nobody.
             self.shared.wheel.timeout(HOUSEKEEPING_MS / 20.0, freed).await;
@@ -656,22 +672,22 @@
     }
 
     /// The counts as a line for the log.
-    pub fn note(&self) -> String {
-        format!("event=servers {} busy={}", self.counts(), self.busy())
+    pub fn log_line(&self) -> String {
+        format!("event=servers {} busy={}", self.counts(), self.active_requests())
     }
 }
 
 impl Dispatch for Proxy {
     fn dispatch(&self, exchange: Exchange) {
         self.shared.count(|counts| counts.taken += 1);
-        let Some(lane) = self.lane(&exchange.backend, &exchange.homes) else {
+        let Some(lane) = self.lane(&exchange.backend, &exchange.home_regions) else {
             let _ = exchange.reply.send(Answer::Failed);
             return;
         };
         let class = self.class(&lane, &exchange);
         let key = self.keys.get() + 1;
         self.keys.set(key);
-        let (arrived, patience_ms) = (exchange.arrived, exchange.patience_ms);
+        let (arrived, patience_ms) = (exchange.arrived, exchange.timeout_ms);
         let load = Rc::new(Load::new(exchange, self.held.clone()));
         let intake = Intake {
             class,
@@ -687,6 +703,6 @@
         self.drive(&lane, |core, now| core.arrive(now, key, now - arrived, intake, load.clone()));
         load.waits.set(true);
         lane.used.set(now);
-        lane.note(|overflow| overflow.arrived(under_way));
+        lane.note(|overflow| overflow.record_arrival(under_way));
     }
 }
--- a/crates/edge/src/recall.rs
+++ b/crates/edge/src/recall.rs
@@ -1,6 +1,6 @@
 //! The resource at which other gateways ask what became of an operation that this one claimed.
 
-use crate::operations::Operations;
+use crate::operations::OperationTable;
 use nickeljunction_messages::RecallCall;
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
 use nickeljunction_net::wheel::Wheel;
@@ -8,19 +8,19 @@
 use std::rc::Rc;
 
 /// Answers [`RecallCall`]s from the gateway's table.
-pub struct Recall {
+pub struct RecallResource {
     wheel: Wheel,
-    operations: Rc<RefCell<Operations>>,
+    operations: Rc<RefCell<OperationTable>>,
 }
 
-impl Recall {
+impl RecallResource {
     /// Answers from this table.
-    pub fn new(wheel: Wheel, operations: Rc<RefCell<Operations>>) -> Recall {
-        Recall { wheel, operations }
+    pub fn new(wheel: Wheel, operations: Rc<RefCell<OperationTable>>) -> RecallResource {
+        RecallResource { wheel, operations }
     }
 }
 
-impl Resource for Recall {
+impl Resource for RecallResource {
     fn handle<'a>(&'a self, call: Call) -> Answering<'a> {
         Box::pin(async move {
             let Ok(call) = serde_json::from_slice::<RecallCall>(&call.body) else {
--- a/crates/edge/src/reply.rs
+++ b/crates/edge/src/reply.rs
@@ -1,6 +1,6 @@
 //! Answers to clients as bytes: a server's, passed on unchanged, or the gateway's own.
 
-use crate::exchange::{Served, ServedBody};
+use crate::exchange::{ResponseBody, ServerResponse};
 use bytes::{BufMut, Bytes, BytesMut};
 use nickeljunction_http::stream::{put_line, put_status};
 use std::fmt::Write;
@@ -13,7 +13,7 @@
 /// The final answer to a request.
 pub enum Reply {
     /// A server's.
-    Served(Served),
+    Served(ServerResponse),
     /// The gateway's own.
     Own(Own),
 }
@@ -63,7 +63,7 @@
     /// These bytes.
     Whole(Bytes),
     /// A body that still comes, of so many bytes, or in chunks.
-    Streamed(crate::exchange::Stream),
+    Streamed(crate::exchange::BodyStream),
 }
 
 fn put_connection(to: &mut BytesMut, hop: &Hop) {
@@ -103,10 +103,10 @@
 ///
 /// # Errors
 /// Nothing was written, for the client's old version has no way to tell where such a body ends from where it broke.
-pub fn put_served(to: &mut BytesMut, served: Served, hop: &Hop) -> Result<Follows, Own> {
-    let Served { status, headers, body } = served;
+pub fn put_served(to: &mut BytesMut, served: ServerResponse, hop: &Hop) -> Result<Follows, Own> {
+    let ServerResponse { status, headers, body } = served;
     let bodiless = hop.to_head || matches!(status, 204 | 304);
-    if let (false, 0, ServedBody::Streamed(stream)) = (bodiless, hop.minor, &body) {
+    if let (false, 0, ResponseBody::Streamed(stream)) = (bodiless, hop.minor, &body) {
         if stream.length.is_none() {
             return Err(Own::new(502, "answer of unknown length for HTTP/1.0"));
         }
@@ -121,8 +121,8 @@
         // What the body would have been, in the server's own words.
         _ if hop.to_head => headers.get("content-length").map(str::to_string),
         _ if bodiless => None,
-        ServedBody::Whole(bytes) => Some(bytes.len().to_string()),
-        ServedBody::Streamed(stream) => stream.length.map(|length| length.to_string()),
+        ResponseBody::Buffered(bytes) => Some(bytes.len().to_string()),
+        ResponseBody::Streamed(stream) => stream.length.map(|length| length.to_string()),
     };
     match length {
         Some(length) => put_line(to, "Content-Length", length.as_bytes()),
@@ -132,7 +132,7 @@
     to.put_slice(b"\r\n");
     Ok(match body {
         _ if bodiless => Follows::Nothing,
-        ServedBody::Whole(bytes) => Follows::Whole(bytes),
-        ServedBody::Streamed(stream) => Follows::Streamed(stream),
+        ResponseBody::Buffered(bytes) => Follows::Whole(bytes),
+        ResponseBody::Streamed(stream) => Follows::Streamed(stream),
     })
 }
--- a/crates/edge/src/resolve.rs
+++ b/crates/edge/src/resolve.rs
@@ -8,20 +8,20 @@
 use std::rc::Rc;
 
 /// See the module.
-pub struct Resolve {
+pub struct ResolveResource {
     link: Rc<Link>,
     dice: RefCell<fastrand::Rng>,
     ttl_s: f64,
 }
 
-impl Resolve {
+impl ResolveResource {
     /// The directory; its answers are kept for `ttl_s`.
-    pub fn new(link: Rc<Link>, seed: u64, ttl_s: f64) -> Resolve {
-        Resolve { link, dice: RefCell::new(fastrand::Rng::with_seed(seed)), ttl_s }
+    pub fn new(link: Rc<Link>, seed: u64, ttl_s: f64) -> ResolveResource {
+        ResolveResource { link, dice: RefCell::new(fastrand::Rng::with_seed(seed)), ttl_s }
     }
 }
 
-impl Resource for Resolve {
+impl Resource for ResolveResource {
     fn handle<'a>(&'a self, call: Call) -> Answering<'a> {
         Box::pin(async move {
             if call.method != "GET" {
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -2,14 +2,14 @@
 
 use crate::figures::Tuning;
 use crate::preference;
-use crate::upstream::{near, Place, Upstream};
+use crate::upstream::{locality_distance, Location, Upstream};
 use nickeljunction_core::facade::{Class, Plan, RegionEntry, RegionState, Settings};
 use std::collections::HashSet;
 
-/// The module's settings for requests of these classes; `subset_least`: see [`Scope::subset_least`].
-pub fn settings(
+/// The module's settings for requests of these classes; `subset_least`: see [`FleetLayout::subset_least`].
+pub fn decision_settings(
     tuning: &Tuning,
-    here: &Place,
+    here: &Location,
     classes: Vec<Class>,
     max_attempts: u32,
     subset_least: f64,
@@ -48,7 +48,7 @@
 }
 
 /// A server that may be sent to.
-pub fn ready(upstream: &Upstream, here: &Place, weight: f64) -> RegionEntry {
+pub fn ready_entry(upstream: &Upstream, here: &Location, weight: f64) -> RegionEntry {
     RegionEntry {
         uid: upstream.id.clone(),
         endpoint: String::new(),
@@ -57,13 +57,13 @@
         pod_group: 0,
         weight,
         boot_ms: 0.0,
-        near: near(upstream, here),
-        order: preference::order(&here.name, &upstream.id, upstream.slots),
+        near: locality_distance(upstream, here),
+        order: preference::rendezvous_rank(&here.name, &upstream.id, upstream.slots),
     }
 }
 
 /// A server that gets nothing new: one still listed completes what it has, any other is gone.
-pub fn withdrawn(id: &str, listed: Option<&Upstream>, weight: f64) -> RegionEntry {
+pub fn withdrawn_entry(id: &str, listed: Option<&Upstream>, weight: f64) -> RegionEntry {
     RegionEntry {
         uid: id.to_string(),
         endpoint: String::new(),
@@ -79,22 +79,22 @@
 
 /// How the gateways are spread, as far as one of them can tell: evenly over the zones that have servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Scope {
+pub struct FleetLayout {
     gateways: f64,
     zones: f64,
     regions: f64,
 }
 
-impl Scope {
+impl FleetLayout {
     /// `gateways` in all, among these servers of all services.
-    pub fn new<'a>(gateways: u32, servers: impl Iterator<Item = &'a Upstream>) -> Scope {
+    pub fn new<'a>(gateways: u32, servers: impl Iterator<Item = &'a Upstream>) -> FleetLayout {
         let (mut zones, mut regions) = (HashSet::new(), HashSet::new());
         for upstream in servers {
             zones.insert(&upstream.zone[..]);
             regions.insert(&upstream.region[..]);
         }
         let count = |places: HashSet<&str>| places.len().max(1) as f64;
-        Scope { gateways: f64::from(gateways.max(1)), zones: count(zones), regions: count(regions) }
+        FleetLayout { gateways: f64::from(gateways.max(1)), zones: count(zones), regions: count(regions) }
     }
 
     /// Gateways of one region.
@@ -104,7 +104,7 @@
 
     /// Fewest servers that this gateway has to use for all to be used by someone: its share of those of its zone, or
     /// of its region where the zone has none or not every zone has a gateway.
-    pub fn subset_least<'a>(&self, servers: impl Iterator<Item = &'a Upstream>, here: &Place) -> f64 {
+    pub fn min_subset_size<'a>(&self, servers: impl Iterator<Item = &'a Upstream>, here: &Location) -> f64 {
         let (mut zone, mut region, mut all) = (0, 0, 0);
         for upstream in servers {
             all += 1;
@@ -117,6 +117,6 @@
             _ if self.gateways < self.zones => (region, self.gateways_per_region()),
             _ => (zone, self.gateways / self.zones),
         };
-        preference::subset_least(servers, gateways)
+        preference::min_subset_size(servers, gateways)
     }
 }
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -5,13 +5,13 @@
 use crate::front::{Front, Keyed, Lifecycle};
 use crate::link::{Link, Own};
 use crate::metrics::Sources;
-use crate::operations::Operations;
+use crate::operations::OperationTable;
 use crate::proxy::{Proxy, Tuning};
-use crate::recall::Recall;
-use crate::resolve::Resolve;
+use crate::recall::RecallResource;
+use crate::resolve::ResolveResource;
 use crate::shutdown::Shutdown;
-use crate::table::{Swap, Table};
-use crate::upstream::Place;
+use crate::table::{SnapshotCell, Table};
+use crate::upstream::Location;
 use nickeljunction_messages::path;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::caller::Caller;
@@ -89,7 +89,7 @@
     let mut dice = fastrand::Rng::new();
     let wheel = Wheel::new(Clock::start());
     let bounds = settings.bounds.clone();
-    let place = Place {
+    let place = Location {
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
@@ -103,7 +103,7 @@
         ..Tuning::default()
     };
     let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), dice.u64(..), tuning);
-    let table = Rc::new(Swap::new(Table::empty()));
+    let table = Rc::new(SnapshotCell::new(Table::empty()));
     let caller = Caller::new(wheel.clone());
     let life = dice.u64(..);
     let own = Own {
@@ -118,7 +118,7 @@
     let seeds = hosts(&addresses.seeds);
     let link = Link::new(own, wheel.clone(), caller, table.clone(), proxy.clone(), seeds, dice.u64(..));
     let units: Rc<dyn Admission> = link.clone();
-    proxy.units(Rc::downgrade(&units));
+    proxy.set_admission(Rc::downgrade(&units));
     let lifecycle = Rc::new(Lifecycle::default());
     let front = Front::new(
         wheel.clone(),
@@ -129,18 +129,18 @@
         budget,
         dice.u64(..),
     );
-    let operations = Operations::new(claimant_host(addresses.ip), life, bounds.key_window_s * 1_000.0);
+    let operations = OperationTable::new(claimant_host(addresses.ip), life, bounds.key_window_s * 1_000.0);
     let operations = Rc::new(RefCell::new(operations));
     front.claim_by(Keyed::new(wheel.clone(), operations.clone(), link.clone()));
     let inner = listen("inner calls", SocketAddr::new(addresses.ip, addresses.inner_port)).await?;
     let recalls = Desk::new(wheel.clone(), Limits { connections: MOST_RECALLING, ..Limits::default() })
-        .route(path::RECALL, Rc::new(Recall::new(wheel.clone(), operations)));
+        .route(path::RECALL, Rc::new(RecallResource::new(wheel.clone(), operations)));
     let clients = listen("clients", addresses.frontend).await?;
     let readiness = listen("readiness", addresses.readiness).await?;
     let desk = Desk::new(wheel.clone(), Limits { connections: 16, ..Limits::default() })
         .route(READINESS, Rc::new(Readiness(link.clone())));
     if let Some(address) = addresses.directory {
-        let resolve = Resolve::new(link.clone(), dice.u64(..), TTL_S.min(bounds.ttl_max_s));
+        let resolve = ResolveResource::new(link.clone(), dice.u64(..), TTL_S.min(bounds.ttl_max_s));
         let desk = Desk::new(wheel.clone(), Limits { connections: MOST_ASKING, ..Limits::default() });
         let desk = desk.route(RESOLVE, Rc::new(resolve));
         tokio::task::spawn_local(Rc::new(desk).serve(listen("directory", address).await?));
@@ -158,7 +158,7 @@
     tokio::task::spawn_local(front.clone().serve(clients));
     tokio::task::spawn_local(link.clone().watch());
     tokio::task::spawn_local(link.clone().count());
-    tokio::task::spawn_local(link.ebb().clone().share(link.clone()));
+    tokio::task::spawn_local(link.ebb().clone().run_share_refresh(link.clone()));
     let leaving = proxy.clone();
     tokio::task::spawn_local(note(wheel.clone(), front, proxy));
     log::info!("event=serving name={} front={}", settings.node_name, addresses.frontend);
@@ -170,7 +170,7 @@
     let name = &settings.node_name;
     log::info!("event=leaving name={name} open={open} stalled_ms={stalled_ms:.0} late_ms={late_ms:.0}");
     link.leave();
-    leaving.leave(shutdown);
+    leaving.begin_shutdown(shutdown);
     lifecycle.leave(shutdown);
     drain(&wheel, &lifecycle, shutdown, link.give_back()).await;
     log::info!("event=left name={} open={}", settings.node_name, lifecycle.open_connections());
@@ -189,11 +189,11 @@
     loop {
         wheel.sleep(NOTE_MS).await;
         log::info!("event=counts {}", front.counts().note());
-        log::info!("{}", proxy.note());
+        log::info!("{}", proxy.log_line());
         if let Some(line) = front.keyed().and_then(|keyed| keyed.note()) {
             log::info!("{line}");
         }
-        if let Some(line) = front.beyond().take() {
+        if let Some(line) = front.beyond().take_log_line() {
             log::info!("{line}");
         }
     }
--- a/crates/edge/src/table.rs
+++ b/crates/edge/src/table.rs
@@ -6,12 +6,12 @@
 
 /// A snapshot that is swapped whole: whoever holds the old one keeps it until done.
 #[derive(Debug)]
-pub struct Swap<T>(RefCell<Rc<T>>);
+pub struct SnapshotCell<T>(RefCell<Rc<T>>);
 
-impl<T> Swap<T> {
+impl<T> SnapshotCell<T> {
     /// Begins with this snapshot.
-    pub fn new(first: T) -> Swap<T> {
-        Swap(RefCell::new(Rc::new(first)))
+    pub fn new(first: T) -> SnapshotCell<T> {
+        SnapshotCell(RefCell::new(Rc::new(first)))
     }
 
     /// The snapshot in force.
--- a/crates/edge/src/tenant_pacing.rs
+++ b/crates/edge/src/tenant_pacing.rs
@@ -21,7 +21,7 @@
 const NEW_PART: f64 = 0.1;
 /// A request as it is to be slowed.
 #[derive(Debug, Clone, Copy)]
-pub struct Slow<'a> {
+pub struct PacedRequest<'a> {
     /// Its tenant.
     pub tenant: &'a str,
     /// Its route.
@@ -29,11 +29,11 @@
     /// In which order it gives way, see [`Rank::from_gives_way`].
     pub gives_way: u32,
     /// Time within which its route's answers earn their full worth, ms.
-    pub aim_ms: f64,
+    pub target_latency_ms: f64,
     /// What its client said that it waits, ms; infinite where it said nothing.
-    pub deadline_ms: f64,
+    pub client_timeout_ms: f64,
     /// Time that it may be held, ms.
-    pub left_ms: f64,
+    pub max_delay_ms: f64,
 }
 
 /// What is known of a route, from its requests since a tenant is slowed.
@@ -52,7 +52,7 @@
 }
 
 /// See the module.
-pub struct Ebb {
+pub struct TenantPacing {
     wheel: Wheel,
     throttle: RefCell<Throttle>,
     routes: RefCell<BTreeMap<Box<str>, Known>>,
@@ -66,7 +66,7 @@
 }
 
 /// A request that is held; dropping it ends that, also where its client has gone.
-struct Held<'a>(&'a Ebb, &'a str);
+struct Held<'a>(&'a TenantPacing, &'a str);
 
 impl Drop for Held<'_> {
     fn drop(&mut self) {
@@ -74,10 +74,10 @@
     }
 }
 
-impl Ebb {
+impl TenantPacing {
     /// Nobody is slowed yet.
-    pub fn new(wheel: Wheel) -> Ebb {
-        Ebb {
+    pub fn new(wheel: Wheel) -> TenantPacing {
+        TenantPacing {
             wheel,
             throttle: RefCell::default(),
             routes: RefCell::default(),
@@ -90,12 +90,12 @@
     }
 
     /// Some tenant is slowed, or its last wait runs off.
-    pub fn active(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.active.get()
     }
 
     /// Trials as the leader told them just now, by the configuration in force.
-    pub fn told(&self, trials: &[TrialInfo], config: Option<&Config>) {
+    pub fn update_trials(&self, trials: &[TrialInfo], config: Option<&Config>) {
         let now = self.wheel.now();
         let mut throttle = self.throttle.borrow_mut();
         for line in trials {
@@ -111,13 +111,13 @@
         }
         drop(throttle);
         if let Some(config) = config {
-            self.configured(config);
+            self.update_config(config);
         }
         self.look();
     }
 
     /// Another configuration is in force.
-    pub fn configured(&self, config: &Config) {
+    pub fn update_config(&self, config: &Config) {
         let known = |tenant: &str| config.tenants.contains_key(tenant);
         self.throttle
             .borrow_mut()
@@ -136,7 +136,7 @@
     }
 
     /// The order to leave: what is held goes on at once, and nothing is held any more. What is taken must be answered in time.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.leaving.set(true);
         self.left.notify_waiters();
     }
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// It would be too late: when its client is to come back, ms.
-    pub async fn slow(&self, slow: Slow<'_>) -> Result<(), f64> {
+    pub async fn admit(&self, slow: PacedRequest<'_>) -> Result<(), f64> {
         let now = self.wheel.now();
         let (again, expected_ms) = {
             let mut routes = self.routes.borrow_mut();
@@ -153,15 +153,18 @@
                 routes.insert(slow.route.into(), Known::default());
             }
             let Some(known) = routes.get_mut(slow.route) else { return Ok(()) };
-            let told = slow.deadline_ms.is_finite();
+            let told = slow.client_timeout_ms.is_finite();
             if told {
-                known.longest_ms = known.longest_ms.max(slow.deadline_ms);
+                known.longest_ms = known.longest_ms.max(slow.client_timeout_ms);
             }
-            (told && slow.deadline_ms < AGAIN_PART * known.longest_ms, known.expected_ms(slow.aim_ms))
+            (
+                told && slow.client_timeout_ms < AGAIN_PART * known.longest_ms,
+                known.expected_ms(slow.target_latency_ms),
+            )
         };
         let arrival = Arrival {
             rank: Rank::from_gives_way(slow.gives_way),
-            remaining_ms: slow.left_ms,
+            remaining_ms: slow.max_delay_ms,
             expected_ms,
             is_retry: again,
         };
@@ -181,7 +184,7 @@
     }
 
     /// A request of this route was served, ms after it was handed on.
-    pub fn served(&self, route: &str, took_ms: f64) {
+    pub fn record_service_time(&self, route: &str, took_ms: f64) {
         if let Some(known) = self.routes.borrow_mut().get_mut(route) {
             let (mean, deviation) = known.served.unwrap_or((took_ms, took_ms / 4.0));
             let off = (took_ms - mean).abs();
@@ -191,12 +194,12 @@
     }
 
     /// How slowed tenants stand here, for operators.
-    pub fn standings(&self) -> Vec<TenantStatus> {
+    pub fn tenant_statuses(&self) -> Vec<TenantStatus> {
         self.throttle.borrow_mut().tenant_statuses(self.wheel.now())
     }
 
     /// Asks the leader for shares while a tenant is slowed, for as long as it is polled.
-    pub async fn share(self: Rc<Self>, link: Rc<Link>) {
+    pub async fn run_share_refresh(self: Rc<Self>, link: Rc<Link>) {
         loop {
             if !self.active.get() {
                 self.began.notified().await;
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -11,7 +11,7 @@
 
 /// Where this gateway is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Name of its machine.
     pub name: String,
     /// Its zone.
@@ -22,7 +22,7 @@
 
 /// How dear a slot is by where it stands: a far one is used when the near ones hold so many times more work.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Nearness {
+pub struct LocalityWeights {
     /// Weight of a slot in the own zone.
     pub zone: f64,
     /// Weight of a slot elsewhere in the own region.
@@ -31,9 +31,9 @@
     pub other: f64,
 }
 
-impl Default for Nearness {
-    fn default() -> Nearness {
-        Nearness { zone: 1.0, region: 0.9, other: 0.04 }
+impl Default for LocalityWeights {
+    fn default() -> LocalityWeights {
+        LocalityWeights { zone: 1.0, region: 0.9, other: 0.04 }
     }
 }
 
@@ -57,11 +57,11 @@
 }
 
 /// The servers of a list that may be used: in service, in no evacuated zone, and warm or with this gateway's permit.
-pub fn usable(
+pub fn usable_upstreams(
     lines: &[ServerInfo],
     evacuated: &HashSet<String>,
     regions: &HashMap<String, String>,
-    here: &Place,
+    here: &Location,
 ) -> Vec<Upstream> {
     let fits = |line: &&ServerInfo| send_block(line, &here.name, |zone| evacuated.contains(zone)).is_none();
     let upstream = |line: &ServerInfo| {
@@ -84,13 +84,17 @@
 
 /// Whether other regions' servers are to be used: where the own one has no warm slot, or fewer than `need`, which is
 /// what the gateways of this region have out together. `wide`: they are used now.
-pub fn spills(own_slots: u32, need: f64, wide: bool) -> bool {
+pub fn exceeds_local_capacity(own_slots: u32, need: f64, wide: bool) -> bool {
     let bound = f64::from(own_slots) * if wide { CALM_PART } else { 1.0 };
     own_slots == 0 || need > bound
 }
 
 /// Warm slots of the own region among the servers that `homes` allow.
-pub fn own_slots<'a>(servers: impl Iterator<Item = &'a Upstream>, homes: &[String], here: &Place) -> u32 {
+pub fn local_region_slots<'a>(
+    servers: impl Iterator<Item = &'a Upstream>,
+    homes: &[String],
+    here: &Location,
+) -> u32 {
     servers
         .filter(|upstream| allowed(upstream, homes) && upstream.region == here.region && !upstream.cold)
         .map(|upstream| upstream.slots)
@@ -98,19 +102,19 @@
 }
 
 /// How near a server is: 0 in the own zone, 1 in the own region, 2 elsewhere.
-pub fn near(upstream: &Upstream, here: &Place) -> u8 {
+pub fn locality_distance(upstream: &Upstream, here: &Location) -> u8 {
     nickeljunction_routing::distance((&upstream.zone, &upstream.region), (&here.zone, &here.region))
 }
 
 /// The weight of a server for requests with these homes; `None`: it is not to be used. `wide`: other regions are.
-pub fn weight(
+pub fn locality_weight(
     upstream: &Upstream,
     homes: &[String],
-    here: &Place,
-    nearness: &Nearness,
+    here: &Location,
+    nearness: &LocalityWeights,
     wide: bool,
 ) -> Option<f64> {
-    let part = match near(upstream, here) {
+    let part = match locality_distance(upstream, here) {
         _ if !allowed(upstream, homes) => return None,
         0 => nearness.zone,
         1 => nearness.region,
@@ -137,7 +141,7 @@
 
     #[test]
     fn draining_evacuated_foreign_and_far_servers_are_left_out() {
-        let here = Place { name: "g1".into(), zone: "n1".into(), region: "n".into() };
+        let here = Location { name: "g1".into(), zone: "n1".into(), region: "n".into() };
         let zones = [("n1", "n"), ("n2", "n"), ("s1", "s"), ("w1", "w")];
         let regions = zones.iter().map(|(zone, region)| (zone.to_string(), region.to_string())).collect();
         let (on, off) = (ServerState::InService, ServerState::Draining);
@@ -152,12 +156,13 @@
             line("emptied", "w1", on, None),
             line("lost", "nowhere", on, None),
         ];
-        let upstreams = usable(&lines, &HashSet::from(["w1".to_string()]), &regions, &here);
+        let upstreams = usable_upstreams(&lines, &HashSet::from(["w1".to_string()]), &regions, &here);
         let ids: Vec<_> = upstreams.iter().map(|upstream| &upstream.id[..]).collect();
         assert_eq!(ids, ["near", "next", "mine", "far", "lost"]);
         let chosen = |homes: &[&str], wide| {
             let homes: Vec<String> = homes.iter().map(|home| home.to_string()).collect();
-            let weigh = |upstream| weight(upstream, &homes, &here, &Nearness::default(), wide);
+            let weigh =
+                |upstream| locality_weight(upstream, &homes, &here, &LocalityWeights::default(), wide);
             upstreams.iter().filter_map(|b| Some((&b.id[..], weigh(b)?))).collect::<Vec<_>>()
         };
         let own = [("near", 2.0), ("next", 1.8), ("mine", 2.0)];
@@ -165,13 +170,17 @@
         assert_eq!(chosen(&[], true)[3..], [("far", 0.08), ("lost", 0.08)]);
         assert_eq!(chosen(&["s"], true), [("far", 0.08)]);
         assert_eq!((chosen(&["n"], true), chosen(&["w"], true)), (own.to_vec(), vec![]));
-        assert_eq!(own_slots(upstreams.iter(), &[], &here), 4);
-        assert_eq!(own_slots(upstreams.iter(), &["s".into()], &here), 0);
+        assert_eq!(local_region_slots(upstreams.iter(), &[], &here), 4);
+        assert_eq!(local_region_slots(upstreams.iter(), &["s".into()], &here), 0);
     }
 
     #[test]
     fn a_region_that_fills_up_spills_and_comes_back_calmly() {
-        assert!(spills(0, 0.0, false) && spills(4, 4.5, false) && !spills(4, 3.9, false));
-        assert!(spills(4, 3.0, true) && !spills(4, 2.0, true));
+        assert!(
+            exceeds_local_capacity(0, 0.0, false)
+                && exceeds_local_capacity(4, 4.5, false)
+                && !exceeds_local_capacity(4, 3.9, false)
+        );
+        assert!(exceeds_local_capacity(4, 3.0, true) && !exceeds_local_capacity(4, 2.0, true));
     }
 }
--- a/crates/edge/tests/claims.rs
+++ b/crates/edge/tests/claims.rs
@@ -3,9 +3,9 @@
 mod link_world;
 
 use link_world::{link, serve, wheel};
-use nickeljunction_edge::claim_client::Claims;
-use nickeljunction_edge::operations::{Begun, Operations};
-use nickeljunction_edge::recall::Recall;
+use nickeljunction_edge::claim_client::ClaimClient;
+use nickeljunction_edge::operations::{BeginResult, OperationTable};
+use nickeljunction_edge::recall::RecallResource;
 use nickeljunction_messages::{
     path, ClaimAnswer, ClaimCall, Claimant, OperationId, RecallAnswer, RecallCall,
 };
@@ -104,11 +104,12 @@
 fn a_holder_tells_of_its_own_claims_and_another_life_is_in_doubt() {
     run(async {
         let wheel = wheel();
-        let operations = Rc::new(RefCell::new(Operations::new(Ipv4Addr::LOCALHOST, 5, 60_000.0)));
+        let operations = Rc::new(RefCell::new(OperationTable::new(Ipv4Addr::LOCALHOST, 5, 60_000.0)));
         let begun = operations.borrow_mut().begin(wheel.now(), OPERATION, 9);
-        let Begun::Claim { claimant: own, .. } = begun else { panic!("{begun:?}") };
+        let BeginResult::Claim { claimant: own, .. } = begun else { panic!("{begun:?}") };
         let port =
-            serve(&wheel, &[(path::RECALL, Rc::new(Recall::new(wheel.clone(), operations.clone())))]).await;
+            serve(&wheel, &[(path::RECALL, Rc::new(RecallResource::new(wheel.clone(), operations.clone())))])
+                .await;
         let link = link(&wheel, port);
         let ask = async |claimant| {
             let call = RecallCall { operation: OPERATION, claimant, request_digest: 9 };
--- a/crates/edge/tests/cuts.rs
+++ b/crates/edge/tests/cuts.rs
@@ -3,10 +3,12 @@
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
-use nickeljunction_edge::exchange::{Body, Dispatch, Exchange, Part, Served, ServedBody};
+use nickeljunction_edge::exchange::{
+    BodyPart, Dispatch, Exchange, RequestBody, ResponseBody, ServerResponse,
+};
 use nickeljunction_edge::figures::{Backend, Tuning};
 use nickeljunction_edge::proxy::Proxy;
-use nickeljunction_edge::upstream::Place;
+use nickeljunction_edge::upstream::Location;
 use nickeljunction_http::stream::{read_request_head, BodyReader};
 use nickeljunction_http::Chunk;
 use nickeljunction_messages::{ServerInfo, ServerState};
@@ -148,7 +150,7 @@
     id: &str,
     repeat: RetrySafety,
     patience_ms: f64,
-) -> (Exchange, oneshot::Receiver<Answer<Served>>) {
+) -> (Exchange, oneshot::Receiver<Answer<ServerResponse>>) {
     let mut head = BytesMut::from("POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: x\r\n\r\n");
     let head = read_request_head(&mut head, 4_096).expect("good").expect("whole");
     let (reply, answer) = oneshot::channel();
@@ -156,27 +158,27 @@
         method: head.method,
         target: head.target,
         headers: head.headers,
-        body: Body::Whole(Bytes::from_static(BODY)),
+        body: RequestBody::Buffered(Bytes::from_static(BODY)),
         attempt_id: id.to_string(),
         tenant: None,
-        unit_until: f64::INFINITY,
+        unit_valid_until: f64::INFINITY,
         backend: "b".into(),
-        homes: Rc::new([]),
-        repeat,
-        aim_ms: 4_000.0,
+        home_regions: Rc::new([]),
+        retry_safety: repeat,
+        target_latency_ms: 4_000.0,
         max_attempts: 2,
         priority: 0,
         arrived: wheel.now(),
-        patience_ms,
+        timeout_ms: patience_ms,
         reply,
     };
     (exchange, answer)
 }
 
 /// The body of a good answer; `None`: a failure, or a refusal (`Err`).
-fn told(answer: Answer<Served>) -> Result<Option<String>, ()> {
+fn told(answer: Answer<ServerResponse>) -> Result<Option<String>, ()> {
     match answer {
-        Answer::Served(Served { status: 200, body: ServedBody::Whole(body), .. }) => {
+        Answer::Served(ServerResponse { status: 200, body: ResponseBody::Buffered(body), .. }) => {
             Ok(Some(String::from_utf8(body.to_vec()).expect("text")))
         }
         Answer::Served(_) => panic!("an answer that no server gave"),
@@ -196,7 +198,7 @@
 
 impl World {
     async fn new(wheel: Wheel, cut: Cut) -> World {
-        let here = Place { name: "g1".into(), zone: "n1".into(), region: "n".into() };
+        let here = Location { name: "g1".into(), zone: "n1".into(), region: "n".into() };
         let tuning = Tuning { retry_slack: 1_000, ..Tuning::default() };
         let proxy = Proxy::new(wheel.clone(), Budget::new(200), here, 7, tuning);
         let (seen, mut tasks, mut lines) = (Rc::new(Seen::default()), JoinSet::new(), Vec::new());
@@ -214,14 +216,14 @@
                 }
             });
         }
-        proxy.fleet(1);
+        proxy.set_gateway_count(1);
         let backend = Backend { max_connections: 100, warmup_per_s: 0.0 };
-        proxy.backends(HashMap::from([("b".to_string(), backend)]));
-        proxy.servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
+        proxy.update_backends(HashMap::from([("b".to_string(), backend)]));
+        proxy.update_servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
         World { proxy, wheel, seen, _tasks: tasks }
     }
 
-    async fn ask(&self, id: &str, repeat: RetrySafety, patience_ms: f64) -> Answer<Served> {
+    async fn ask(&self, id: &str, repeat: RetrySafety, patience_ms: f64) -> Answer<ServerResponse> {
         let (exchange, answer) = exchange(&self.wheel, id, repeat, patience_ms);
         self.proxy.dispatch(exchange);
         answer.await.expect("exactly one answer")
@@ -321,19 +323,19 @@
         for cut in cuts {
             let world = World::new(wheel.clone(), cut).await;
             let (began, patience_ms) = (wheel.now(), 1_000.0);
-            let Answer::Served(Served { body: ServedBody::Streamed(mut body), .. }) =
+            let Answer::Served(ServerResponse { body: ResponseBody::Streamed(mut body), .. }) =
                 world.ask("a", cut.repeat, patience_ms).await
             else {
                 panic!("{cut:?}: a streamed answer")
             };
             let mut ended = false;
             while let Some(part) = body.parts.recv().await {
-                ended |= part == Part::End;
+                ended |= part == BodyPart::End;
             }
             let held_ms = wheel.now() - began;
             assert!(!ended && held_ms < patience_ms + LATE_MS, "{cut:?}: {ended}, held for {held_ms} ms");
             assert!(cut.end != End::Silence || held_ms >= patience_ms - 50.0, "{cut:?}: {held_ms}");
-            world.proxy.idle().await;
+            world.proxy.wait_until_idle().await;
             assert_eq!(
                 told(world.ask("b", RetrySafety::AtMostOnce, 9_000.0).await),
                 Ok(Some("for b".into())),
--- a/crates/edge/tests/exchange.rs
+++ b/crates/edge/tests/exchange.rs
@@ -3,7 +3,9 @@
 
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::RetrySafety;
-use nickeljunction_edge::exchange_state::{verdict, Carried, Receiver, Sends, Verdict};
+use nickeljunction_edge::exchange_state::{
+    judge_answer, AnswerReader, AnswerVerdict, ConnectionHistory, SendCounts,
+};
 use nickeljunction_http::stream::BodyReader;
 use nickeljunction_http::Chunk;
 use proptest::prelude::*;
@@ -133,7 +135,7 @@
 struct Told {
     /// Status and body, as its client gets them.
     delivered: Option<(u16, Bytes)>,
-    sends: Sends,
+    sends: SendCounts,
     /// The connection is kept, with what was left of what had been read.
     kept: Option<Vec<u8>>,
     /// So many of the pieces were read; the others come while the connection is idle or behind the next request.
@@ -142,46 +144,46 @@
 
 /// Plays one call as the gateway does, its answers read in these pieces; after the last one the connection ends or the
 /// call is given up.
-fn play(call: &Call, carried: &mut Carried, left: &[u8], pieces: &[Vec<u8>]) -> Told {
-    let mut sends = Sends::default();
+fn play(call: &Call, carried: &mut ConnectionHistory, left: &[u8], pieces: &[Vec<u8>]) -> Told {
+    let mut sends = SendCounts::default();
     sends.begin();
     if call.wrote == Wrote::Nothing {
-        sends.unsent();
+        sends.cancel();
         return Told { delivered: None, sends, kept: None, read: pieces.len() };
     }
-    sends.expose();
-    carried.add(call.to_head);
-    let mut came = Receiver::new(&id(call.number), call.to_head, *carried);
-    came.from.extend_from_slice(left);
+    sends.mark_exposed();
+    carried.record_request(call.to_head);
+    let mut came = AnswerReader::new(&id(call.number), call.to_head, *carried);
+    came.buffer.extend_from_slice(left);
     if call.wrote == Wrote::Some {
-        came.cut_short();
+        came.mark_request_incomplete();
     }
     let read = Cell::new(0);
-    let more = |came: &mut Receiver| {
+    let more = |came: &mut AnswerReader| {
         let piece = pieces.get(read.replace(read.get() + 1))?;
-        came.from.extend_from_slice(piece);
+        came.buffer.extend_from_slice(piece);
         Some(())
     };
     let head = loop {
-        match came.head() {
+        match came.read_head() {
             Ok(Some(head)) => break head,
             Ok(None) if more(&mut came).is_some() => {}
             _ => return Told { delivered: None, sends, kept: None, read: pieces.len() },
         }
     };
     let mut reader = BodyReader::new(head.framing, u64::MAX).expect("no bound");
-    let verdict = verdict(&head, call.repeat);
+    let verdict = judge_answer(&head, call.repeat);
     let waits = match verdict {
-        Verdict::TurnedAway { .. } => {
-            sends.vouched();
+        AnswerVerdict::NotExecuted { .. } => {
+            sends.mark_not_executed();
             false
         }
-        Verdict::Foreign(_) => return Told { delivered: None, sends, kept: None, read: pieces.len() },
-        Verdict::Deliver(_) | Verdict::Elsewhere { .. } => true,
+        AnswerVerdict::Mismatch(_) => return Told { delivered: None, sends, kept: None, read: pieces.len() },
+        AnswerVerdict::Deliver(_) | AnswerVerdict::TryElsewhere { .. } => true,
     };
     let mut body = BytesMut::new();
     while !reader.is_complete() {
-        match reader.next(&mut came.from) {
+        match reader.next(&mut came.buffer) {
             Ok(Chunk::Part(part)) => body.extend_from_slice(&part),
             Ok(Chunk::End) => {}
             Ok(Chunk::Incomplete) if waits && more(&mut came).is_some() => {}
@@ -189,12 +191,12 @@
         }
     }
     let whole = reader.is_complete();
-    let misdirected = verdict == Verdict::TurnedAway { misdirected: true };
+    let misdirected = verdict == AnswerVerdict::NotExecuted { misdirected: true };
     let delivered = match verdict {
-        Verdict::Deliver(_) if whole => Some((head.status, body.freeze())),
+        AnswerVerdict::Deliver(_) if whole => Some((head.status, body.freeze())),
         _ => None,
     };
-    let kept = came.reusable(whole && !misdirected).then(|| came.from.to_vec());
+    let kept = came.is_reusable(whole && !misdirected).then(|| came.buffer.to_vec());
     Told { delivered, sends, kept, read: read.get() }
 }
 
@@ -218,18 +220,18 @@
     let vouched = call.items.iter().any(|item| matches!(item, TurnedAway | Misdirected));
     let may_have_run = call.wrote != Wrote::Nothing && !vouched;
     if may_have_run {
-        assert!(told.sends.allow(RetrySafety::AtMostOnce, 9).is_err(), "sent twice: {}", story());
+        assert!(told.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_err(), "sent twice: {}", story());
         assert!(!told.sends.may_refuse(RetrySafety::AtMostOnce), "refused what may have run: {}", story());
     }
     if call.wrote == Wrote::Nothing {
         assert!(
-            told.sends.allow(RetrySafety::AtMostOnce, 1).is_ok() && told.sends.begun() == 0,
+            told.sends.check_allowed(RetrySafety::AtMostOnce, 1).is_ok() && told.sends.begun() == 0,
             "{}",
             story()
         );
     }
     assert!(
-        told.sends.allow(call.repeat, told.sends.begun()).is_err(),
+        told.sends.check_allowed(call.repeat, told.sends.begun()).is_err(),
         "beyond the route's most: {}",
         story()
     );
@@ -266,7 +268,7 @@
 
 #[test]
 fn every_short_story_of_a_connection_keeps_to_the_rule() {
-    let mut open = vec![(Vec::<bool>::new(), Carried::default())];
+    let mut open = vec![(Vec::<bool>::new(), ConnectionHistory::default())];
     let (mut seen, mut calls, mut states) = (HashSet::from([Vec::<bool>::new()]), 0_u64, 0_usize);
     while let Some((earlier, carried)) = open.pop() {
         states += 1;
@@ -318,8 +320,8 @@
         let half = items.iter().position(|item| *item == Half).map_or(items.len(), |at| at + 1);
         let repeat = if once { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
         let call = Call { number: earlier.len(), to_head, repeat, wrote: Wrote::All, items: items[..half].to_vec() };
-        let mut carried = Carried::default();
-        earlier.iter().for_each(|head| carried.add(*head));
+        let mut carried = ConnectionHistory::default();
+        earlier.iter().for_each(|head| carried.record_request(*head));
         let apart: Vec<Vec<u8>> = call.items.iter().map(|item| bytes(*item, &call, &earlier)).collect();
         let all = apart.concat();
         let places: BTreeSet<usize> = cuts.iter().map(|cut| cut.index(all.len() + 1)).chain([0, all.len()]).collect();
@@ -334,7 +336,7 @@
         if let Some(delivered) = &ended.delivered {
             prop_assert_eq!(Some(delivered), by_item.delivered.as_ref());
         }
-        prop_assert!(ended.sends.allow(RetrySafety::AtMostOnce, 9).is_err() || by_item.sends.allow(RetrySafety::AtMostOnce, 9).is_ok());
+        prop_assert!(ended.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_err() || by_item.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_ok());
     }
 }
 
@@ -350,10 +352,17 @@
 }
 
 /// What a step of a send does to the ledger.
-type Change = fn(&mut Sends);
+type Change = fn(&mut SendCounts);
 
 /// All orders of up to so many steps of the sends of one request: begin another where that is allowed, or move one on.
-fn sends_walk(ledger: Sends, sends: &[Send], repeat: RetrySafety, most: u32, steps: usize, walked: &mut u64) {
+fn sends_walk(
+    ledger: SendCounts,
+    sends: &[Send],
+    repeat: RetrySafety,
+    most: u32,
+    steps: usize,
+    walked: &mut u64,
+) {
     *walked += 1;
     let count = |state| sends.iter().filter(|send| **send == state).count() as u32;
     assert_eq!(ledger.begun(), sends.len() as u32 - count(Send::Unsent), "{sends:?}");
@@ -365,7 +374,7 @@
         return;
     }
     // The gateway cuts off a send that has not gone out before it begins another one that must not run twice.
-    if ledger.allow(repeat, most).is_ok() {
+    if ledger.check_allowed(repeat, most).is_ok() {
         assert!(repeat != RetrySafety::AtMostOnce || count(Send::Exposed) == 0, "twice: {sends:?}");
         let (mut ledger, mut sends) = (ledger, sends.to_vec());
         ledger.begin();
@@ -377,8 +386,8 @@
     }
     for (at, send) in sends.iter().enumerate() {
         let moves: &[(Send, Change)] = match send {
-            Send::Begun => &[(Send::Exposed, Sends::expose), (Send::Unsent, Sends::unsent)],
-            Send::Exposed => &[(Send::Vouched, Sends::vouched)],
+            Send::Begun => &[(Send::Exposed, SendCounts::mark_exposed), (Send::Unsent, SendCounts::cancel)],
+            Send::Exposed => &[(Send::Vouched, SendCounts::mark_not_executed)],
             Send::Unsent | Send::Vouched | Send::Cut => &[],
         };
         for (to, change) in moves {
@@ -395,7 +404,7 @@
     let mut walked = 0;
     for repeat in [RetrySafety::AtMostOnce, RetrySafety::Idempotent] {
         for most in 1..=3 {
-            sends_walk(Sends::default(), &[], repeat, most, 8, &mut walked);
+            sends_walk(SendCounts::default(), &[], repeat, most, 8, &mut walked);
         }
     }
     println!("{walked} states of sends");
--- a/crates/edge/tests/front.rs
+++ b/crates/edge/tests/front.rs
@@ -6,7 +6,9 @@
 use front_world::*;
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
-use nickeljunction_edge::exchange::{Admission, Admitted, Body, Exchange, Part, Served};
+use nickeljunction_edge::exchange::{
+    Admission, AdmissionDecision, BodyPart, Exchange, RequestBody, ServerResponse,
+};
 use nickeljunction_messages::TrialInfo;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -24,8 +26,8 @@
                 (&exchange.method[..], &exchange.target[..], &*exchange.backend),
                 ("GET", "/i/2?q", "a")
             );
-            assert_eq!((exchange.repeat, exchange.tenant.is_none()), (RetrySafety::Idempotent, true));
-            assert_eq!(exchange.patience_ms, 2_000.0);
+            assert_eq!((exchange.retry_safety, exchange.tenant.is_none()), (RetrySafety::Idempotent, true));
+            assert_eq!(exchange.timeout_ms, 2_000.0);
         }
         for id in ["3", "2", "1"] {
             settle().await;
@@ -70,7 +72,7 @@
         world.serve("1");
         let (parts, served) = streamed(Some(9));
         world.answer("2", Answer::Served(served));
-        parts.send(Part::Data(Bytes::from_static(b"half"))).await.expect("wanted");
+        parts.send(BodyPart::Data(Bytes::from_static(b"half"))).await.expect("wanted");
         settle().await;
         assert_eq!(world.proxy.ids(), [""; 0], "behind an answer under way");
         drop(parts);
@@ -98,8 +100,8 @@
         world.serve("1");
         world.dispatched(&["2"]).await;
         let body = match &world.proxy.0.borrow()[0].body {
-            Body::Whole(body) => body.clone(),
-            Body::Streamed(_) => panic!("short"),
+            RequestBody::Buffered(body) => body.clone(),
+            RequestBody::Streamed(_) => panic!("short"),
         };
         assert_eq!(&body[..], b"abc");
         world.serve("2");
@@ -115,7 +117,7 @@
 fn a_streamed_answer_goes_through_whole_or_ends_as_visibly_broken() {
     run(async {
         let world = World::new("");
-        let part = || Part::Data(Bytes::from_static(b"0123456789"));
+        let part = || BodyPart::Data(Bytes::from_static(b"0123456789"));
         // (length stated, parts, they end, what the client sees behind the head; None: more may follow)
         for (length, parts, ends, seen) in [
             (None, 2, true, "a\r\n0123456789\r\na\r\n0123456789\r\n0\r\n\r\n"),
@@ -136,7 +138,7 @@
                 to.send(part()).await.unwrap_or(());
             }
             if ends {
-                to.send(Part::End).await.unwrap_or(());
+                to.send(BodyPart::End).await.unwrap_or(());
             }
             drop(to);
             settle().await;
@@ -222,19 +224,19 @@
         {
             let exchange = &world.proxy.0.borrow()[0];
             assert_eq!(
-                (exchange.tenant.as_deref(), &exchange.homes[..]),
+                (exchange.tenant.as_deref(), &exchange.home_regions[..]),
                 (Some("t"), &["r".to_string()][..])
             );
-            assert_eq!((exchange.patience_ms, exchange.repeat), (700.5, RetrySafety::AtMostOnce));
+            assert_eq!((exchange.timeout_ms, exchange.retry_safety), (700.5, RetrySafety::AtMostOnce));
         }
         world.serve("1");
         read(&mut client).await;
         for (says, stale, wanted) in [
-            (Admitted::Beyond(1234.0), None, ("429", "Retry-After: 1.234\r\n")),
-            (Admitted::Unknown(0.0), None, ("503", "Retry-After: 0.100\r\n")),
+            (AdmissionDecision::OverQuota(1234.0), None, ("429", "Retry-After: 1.234\r\n")),
+            (AdmissionDecision::QuotaUnknown(0.0), None, ("503", "Retry-After: 0.100\r\n")),
             // A unit that can't be used any more.
-            (Admitted::Until(1.0), None, ("503", "Retry-After: ")),
-            (Admitted::Until(f64::INFINITY), Some(300.0), ("503", "Retry-After: 0.300\r\n")),
+            (AdmissionDecision::Admitted(1.0), None, ("503", "Retry-After: ")),
+            (AdmissionDecision::Admitted(f64::INFINITY), Some(300.0), ("503", "Retry-After: 0.300\r\n")),
         ] {
             world.desk.says.set(says);
             world.desk.stale.set(stale);
@@ -246,9 +248,9 @@
             );
             assert!(head.contains("X-Attempt-Id: 1\r\n") && world.proxy.ids().is_empty(), "{head}");
         }
-        let told = world.front.beyond().take();
+        let told = world.front.beyond().take_log_line();
         assert_eq!(told.as_deref(), Some("event=over_quota refused=1 tenants=1 most=\"t\" its=1"));
-        assert_eq!(world.front.beyond().take(), None, "told once");
+        assert_eq!(world.front.beyond().take_log_line(), None, "told once");
         assert!(world.desk.asked.borrow().iter().all(|tenant| tenant == "t"));
         // Stale keys don't keep what needs none from being served.
         send(&mut client, &get("/i/", "2")).await;
@@ -290,7 +292,7 @@
         // A HEAD has the length of the body it would have had, and none.
         send(&mut client, &get("/i/", "2").replace("GET", "HEAD")).await;
         world.dispatched(&["2"]).await;
-        let served = Served { headers: headers(""), ..whole(200, "2") };
+        let served = ServerResponse { headers: headers(""), ..whole(200, "2") };
         world.answer("2", Answer::Served(served));
         send(&mut client, "GET /i/ HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 3\r\nConnection: close\r\n\r\n")
             .await;
@@ -303,16 +305,16 @@
 }
 
 async fn collect(exchange: &Exchange) -> (Vec<u8>, bool) {
-    let Body::Streamed(stream) = &exchange.body else { panic!("not streamed") };
+    let RequestBody::Streamed(stream) = &exchange.body else { panic!("not streamed") };
     let mut stream = stream.borrow_mut().take().expect("first to take it");
     let mut all = Vec::new();
     while let Some(part) = stream.parts.recv().await {
         match part {
-            Part::Data(bytes) => {
+            BodyPart::Data(bytes) => {
                 assert!(bytes.len() <= 16 * 1024);
                 all.extend_from_slice(&bytes);
             }
-            Part::End => return (all, true),
+            BodyPart::End => return (all, true),
         }
     }
     (all, false)
@@ -426,7 +428,7 @@
             }
             for id in ["1", "2", "3", "4"] {
                 settle().await;
-                if let Body::Whole(body) = &world.proxy.0.borrow()[0].body {
+                if let RequestBody::Buffered(body) = &world.proxy.0.borrow()[0].body {
                     assert_eq!(
                         &body[..],
                         if id == "1" { &b""[..] } else { b"abc" },
@@ -445,9 +447,9 @@
 fn a_lapsed_tenants_requests_wait_in_a_bounded_queue_and_its_bookings_do_not() {
     run(async {
         let world = World::new("");
-        assert!(world.desk.ebb().is_none(), "nobody is slowed");
+        assert!(world.desk.pacing().is_none(), "nobody is slowed");
         let line = TrialInfo { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
-        world.desk.ebb.told(&[line], Some(world.document.config()));
+        world.desk.ebb.update_trials(&[line], Some(world.document.config()));
         // They may be held for half of a minute, and nobody waits that long here.
         let mut clients = Vec::new();
         for id in 0..64 {
@@ -456,7 +458,7 @@
             clients.push(client);
         }
         settle().await;
-        assert_eq!(world.desk.ebb.standings()[0].waiting, 64);
+        assert_eq!(world.desk.ebb.tenant_statuses()[0].waiting, 64);
         let mut told = world.client();
         send(&mut told, &keyed("GET", "/w/", "told")).await;
         let (head, body) = read(&mut told).await;
@@ -472,11 +474,11 @@
         // Who leaves makes room.
         clients.truncate(60);
         settle().await;
-        assert_eq!(world.desk.ebb.standings()[0].waiting, 60);
+        assert_eq!(world.desk.ebb.tenant_statuses()[0].waiting, 60);
         let mut late = world.client();
         send(&mut late, &keyed("GET", "/w/", "late")).await;
         settle().await;
-        assert_eq!((world.desk.ebb.standings()[0].waiting, world.proxy.ids().len()), (61, 2));
+        assert_eq!((world.desk.ebb.tenant_statuses()[0].waiting, world.proxy.ids().len()), (61, 2));
         assert_eq!(world.front.counts().over_quota.get(), 1);
     });
 }
@@ -487,7 +489,7 @@
         let world = World::new("");
         for stage in 1..=4_u32 {
             let line = TrialInfo { tenant: "t".into(), step: u64::from(stage), stage, in_ms: 0 };
-            world.desk.ebb.told(&[line], Some(world.document.config()));
+            world.desk.ebb.update_trials(&[line], Some(world.document.config()));
             // The last: the servers' side lets go of it, and it may have run.
             for (at, status) in ["200", "502", "503", "502"].into_iter().enumerate() {
                 let id = format!("{stage}-{at}");
--- a/crates/edge/tests/front_world/mod.rs
+++ b/crates/edge/tests/front_world/mod.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{
-    Admission, Admitted, Dispatch, Exchange, Part, Served, ServedBody, Stream,
+    Admission, AdmissionDecision, BodyPart, BodyStream, Dispatch, Exchange, ResponseBody, ServerResponse,
 };
 use nickeljunction_edge::front::{Front, Lifecycle};
-use nickeljunction_edge::table::{Swap, Table};
-use nickeljunction_edge::tenant_pacing::Ebb;
+use nickeljunction_edge::table::{SnapshotCell, Table};
+use nickeljunction_edge::tenant_pacing::TenantPacing;
 use nickeljunction_http::Headers;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
@@ -47,28 +47,28 @@
 
 /// Admission that says the same to all.
 pub struct Desk {
-    pub says: Cell<Admitted>,
+    pub says: Cell<AdmissionDecision>,
     pub stale: Cell<Option<f64>>,
     pub asked: RefCell<Vec<String>>,
-    pub ebb: Ebb,
+    pub ebb: TenantPacing,
 }
 
 impl Admission for Desk {
-    fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
+    fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>> {
         self.asked.borrow_mut().push(tenant.to_string());
         Box::pin(async { self.says.get() })
     }
 
-    fn also(&self, _: &str) -> bool {
+    fn take_extra_unit(&self, _: &str) -> bool {
         true
     }
 
-    fn stale(&self) -> Option<f64> {
+    fn stale_retry_after_ms(&self) -> Option<f64> {
         self.stale.get()
     }
 
-    fn ebb(&self) -> Option<&Ebb> {
-        self.ebb.active().then_some(&self.ebb)
+    fn pacing(&self) -> Option<&TenantPacing> {
+        self.ebb.is_active().then_some(&self.ebb)
     }
 }
 
@@ -99,13 +99,13 @@
         let wheel = Wheel::new(Clock::start());
         tokio::task::spawn_local(wheel.clone().run());
         let proxy = Rc::new(Proxy::default());
-        let (says, stale) = (Cell::new(Admitted::Until(f64::INFINITY)), Cell::new(None));
-        let ebb = Ebb::new(wheel.clone());
+        let (says, stale) = (Cell::new(AdmissionDecision::Admitted(f64::INFINITY)), Cell::new(None));
+        let ebb = TenantPacing::new(wheel.clone());
         let desk = Rc::new(Desk { says, stale, asked: RefCell::default(), ebb });
         let lifecycle = Rc::new(Lifecycle::default());
         let front = Front::new(
             wheel.clone(),
-            Rc::new(Swap::new(table)),
+            Rc::new(SnapshotCell::new(table)),
             desk.clone(),
             proxy.clone(),
             lifecycle.clone(),
@@ -127,7 +127,7 @@
         assert_eq!(self.proxy.ids(), ids);
     }
 
-    pub fn answer(&self, id: &str, answer: Answer<Served>) {
+    pub fn answer(&self, id: &str, answer: Answer<ServerResponse>) {
         assert!(self.proxy.take(id).reply.send(answer).is_ok(), "{id}: nobody waits");
     }
 
@@ -157,10 +157,10 @@
     head.expect("well formed").expect("whole").headers
 }
 
-pub fn whole(status: u16, id: &str) -> Served {
+pub fn whole(status: u16, id: &str) -> ServerResponse {
     let lines = format!("X-Attempt-Id: {id}\r\nX-Response-Seal: s.{id}\r\nConnection: close\r\n");
-    let body = ServedBody::Whole(Bytes::from(format!("body of {id}")));
-    Served { status, headers: headers(&lines), body }
+    let body = ResponseBody::Buffered(Bytes::from(format!("body of {id}")));
+    ServerResponse { status, headers: headers(&lines), body }
 }
 
 /// Reads one answer with a length: its head and its body.
@@ -196,10 +196,10 @@
 }
 
 /// A stream for an answer, with its sender.
-pub fn streamed(length: Option<u64>) -> (mpsc::Sender<Part>, Served) {
+pub fn streamed(length: Option<u64>) -> (mpsc::Sender<BodyPart>, ServerResponse) {
     let (to, parts) = mpsc::channel(2);
-    let body = ServedBody::Streamed(Stream { length, parts });
-    (to, Served { status: 200, headers: headers("X-Response-Seal: s\r\n"), body })
+    let body = ResponseBody::Streamed(BodyStream { length, parts });
+    (to, ServerResponse { status: 200, headers: headers("X-Response-Seal: s\r\n"), body })
 }
 
 pub fn keyed(method: &str, path: &str, id: &str) -> String {
--- a/crates/edge/tests/keyed.rs
+++ b/crates/edge/tests/keyed.rs
@@ -4,10 +4,10 @@
 
 use front_world::*;
 use nickeljunction_core::life::Answer;
-use nickeljunction_edge::claim_client::{Awaited, Claims};
-use nickeljunction_edge::exchange::{Admitted, Part};
+use nickeljunction_edge::claim_client::{CallFuture, ClaimClient};
+use nickeljunction_edge::exchange::{AdmissionDecision, BodyPart};
 use nickeljunction_edge::front::Keyed;
-use nickeljunction_edge::operations::Operations;
+use nickeljunction_edge::operations::OperationTable;
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId, RecallAnswer, RecallCall};
 use std::cell::{Cell, RefCell};
@@ -39,7 +39,7 @@
     cut_off: Cell<bool>,
     holders: RefCell<HashMap<OperationId, Claimant>>,
     calls: RefCell<Vec<ClaimCall>>,
-    gateways: RefCell<HashMap<u64, Rc<RefCell<Operations>>>>,
+    gateways: RefCell<HashMap<u64, Rc<RefCell<OperationTable>>>>,
 }
 
 impl Core {
@@ -57,7 +57,7 @@
     /// A gateway whose process has this life.
     fn gateway(self: &Rc<Core>, life: u64) -> World {
         let world = World::new("");
-        let operations = Operations::new(Ipv4Addr::LOCALHOST, life, 60_000.0);
+        let operations = OperationTable::new(Ipv4Addr::LOCALHOST, life, 60_000.0);
         let operations = Rc::new(RefCell::new(operations));
         self.gateways.borrow_mut().insert(life, operations.clone());
         world.front.claim_by(Keyed::new(world.wheel.clone(), operations, self.clone()));
@@ -78,8 +78,8 @@
     }
 }
 
-impl Claims for Core {
-    fn claim<'a>(&'a self, call: &'a ClaimCall, _until: f64) -> Awaited<'a, ClaimAnswer> {
+impl ClaimClient for Core {
+    fn claim<'a>(&'a self, call: &'a ClaimCall, _until: f64) -> CallFuture<'a, ClaimAnswer> {
         Box::pin(async move {
             self.calls.borrow_mut().push(*call);
             match self.leader.get() {
@@ -98,7 +98,7 @@
         })
     }
 
-    fn recall<'a>(&'a self, call: &'a RecallCall, _timeout_ms: f64) -> Awaited<'a, RecallAnswer> {
+    fn recall<'a>(&'a self, call: &'a RecallCall, _timeout_ms: f64) -> CallFuture<'a, RecallAnswer> {
         Box::pin(async move {
             let gateway = self.gateways.borrow().get(&call.claimant.incarnation).cloned()?;
             let answer = gateway.borrow_mut().recall(0.0, call);
@@ -106,7 +106,7 @@
         })
     }
 
-    fn cut_off(&self) -> bool {
+    fn is_core_unreachable(&self) -> bool {
         self.cut_off.get()
     }
 }
@@ -318,7 +318,7 @@
         let mut first = begin(&a, &try_of("1", "k")).await;
         let (to, served) = streamed(Some(4));
         a.answer("1", Answer::Served(served));
-        for part in [Part::Data("long".into()), Part::End] {
+        for part in [BodyPart::Data("long".into()), BodyPart::End] {
             to.send(part).await.expect("taken");
         }
         assert_eq!(answered(&mut first).await.2, "long");
@@ -423,19 +423,19 @@
         let core = Core::new();
         let (a, b) = (core.gateway(1), core.gateway(2));
         core.leader.set(Leader::Waits);
-        a.desk.says.set(Admitted::Until(a.wheel.now() + UNIT_MS));
+        a.desk.says.set(AdmissionDecision::Admitted(a.wheel.now() + UNIT_MS));
         let _client = begin(&a, &try_of("1", "k1")).await;
         a.wheel.sleep(UNIT_MS + 20.0).await;
         let until = a.wheel.now() + 60_000.0;
-        a.desk.says.set(Admitted::Until(until));
+        a.desk.says.set(AdmissionDecision::Admitted(until));
         core.go_on.notify_one();
         a.dispatched(&["1"]).await;
-        assert_eq!(a.proxy.take("1").unit_until, until);
+        assert_eq!(a.proxy.take("1").unit_valid_until, until);
 
-        a.desk.says.set(Admitted::Until(a.wheel.now() + UNIT_MS));
+        a.desk.says.set(AdmissionDecision::Admitted(a.wheel.now() + UNIT_MS));
         let mut beyond = begin(&a, &try_of("2", "k2")).await;
         a.wheel.sleep(UNIT_MS + 20.0).await;
-        a.desk.says.set(Admitted::Beyond(100.0));
+        a.desk.says.set(AdmissionDecision::OverQuota(100.0));
         core.go_on.notify_one();
         assert_eq!(answered(&mut beyond).await.0, 429);
         core.leader.set(Leader::Answers);
--- a/crates/edge/tests/leaving.rs
+++ b/crates/edge/tests/leaving.rs
@@ -83,7 +83,7 @@
         send(&mut client, &get("/i/", "1")).await;
         world.dispatched(&["1"]).await;
         let exchange = world.proxy.take("1");
-        assert!((exchange.arrived + exchange.patience_ms - shutdown.answers_until).abs() < 1e-6);
+        assert!((exchange.arrived + exchange.timeout_ms - shutdown.answers_until).abs() < 1e-6);
     });
 }
 
@@ -113,7 +113,7 @@
     run(async {
         let world = World::new("");
         let line = TrialInfo { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
-        world.desk.ebb.told(&[line], Some(world.document.config()));
+        world.desk.ebb.update_trials(&[line], Some(world.document.config()));
         let mut clients = Vec::new();
         for id in 0..64 {
             let mut client = world.client();
@@ -121,11 +121,11 @@
             clients.push(client);
         }
         settle().await;
-        assert_eq!(world.desk.ebb.standings()[0].waiting, 64);
+        assert_eq!(world.desk.ebb.tenant_statuses()[0].waiting, 64);
         world.lifecycle.leave(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
-        world.desk.ebb.leave();
+        world.desk.ebb.begin_shutdown();
         settle().await;
-        assert_eq!((world.desk.ebb.standings()[0].waiting, world.proxy.ids().len()), (0, 64));
+        assert_eq!((world.desk.ebb.tenant_statuses()[0].waiting, world.proxy.ids().len()), (0, 64));
         for (id, client) in clients.iter_mut().enumerate() {
             world.serve(&id.to_string());
             let (head, _) = read(client).await;
--- a/crates/edge/tests/link_world/mod.rs
+++ b/crates/edge/tests/link_world/mod.rs
@@ -2,8 +2,8 @@
 
 use nickeljunction_edge::link::{Link, Own};
 use nickeljunction_edge::proxy::{Proxy, Tuning};
-use nickeljunction_edge::table::{Swap, Table};
-use nickeljunction_edge::upstream::Place;
+use nickeljunction_edge::table::{SnapshotCell, Table};
+use nickeljunction_edge::upstream::Location;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::caller::Caller;
 use nickeljunction_net::clock::Clock;
@@ -21,7 +21,7 @@
 
 /// A gateway whose core and whose fellow gateways are at this port of the loopback address.
 pub fn link(wheel: &Wheel, inner_port: u16) -> Rc<Link> {
-    let place = Place { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
+    let place = Location { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
     let proxy = Proxy::new(wheel.clone(), Budget::new(64), place.clone(), 1, Tuning::default());
     let own = Own {
         place,
@@ -32,7 +32,7 @@
         zones: Default::default(),
         directory: false,
     };
-    let table = Rc::new(Swap::new(Table::empty()));
+    let table = Rc::new(SnapshotCell::new(Table::empty()));
     let seeds = vec!["127.0.0.1".into()];
     Link::new(own, wheel.clone(), Caller::new(wheel.clone()), table, proxy, seeds, 1)
 }
--- a/crates/edge/tests/once_world/world.rs
+++ b/crates/edge/tests/once_world/world.rs
@@ -3,8 +3,8 @@
 
 use super::core::{Answered, Core, WINDOW_MS};
 use super::{Bounds, Fault};
-use nickeljunction_edge::claim_attempt::{Claiming, Refusal, Step};
-use nickeljunction_edge::operations::{Answer, Operations};
+use nickeljunction_edge::claim_attempt::{ClaimAttempt, ClaimRefusal, ClaimStep};
+use nickeljunction_edge::operations::{OperationTable, StoredAnswer};
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, KeptAnswer, OperationId, RecallAnswer, RecallCall};
 use std::net::Ipv4Addr;
 
@@ -76,7 +76,7 @@
 struct Try {
     gateway: usize,
     begun_ms: u64,
-    claiming: Claiming,
+    claiming: ClaimAttempt,
     number: u64,
     phase: Phase,
 }
@@ -100,7 +100,7 @@
     pub left: Bounds,
     now_ms: u64,
     lives: u64,
-    gateways: Vec<Operations>,
+    gateways: Vec<OperationTable>,
     core: Core,
     tries: Vec<Try>,
     claim_calls: Vec<(usize, ClaimCall)>,
@@ -137,12 +137,12 @@
         world
     }
 
-    fn process(&mut self, gateway: usize) -> Operations {
+    fn process(&mut self, gateway: usize) -> OperationTable {
         if self.left.fault != Fault::LifeReused {
             self.lives += 1;
         }
         let host = Ipv4Addr::new(10, 0, 0, gateway as u8);
-        Operations::new(host, self.lives, WINDOW_MS as f64)
+        OperationTable::new(host, self.lives, WINDOW_MS as f64)
     }
 
     /// Everything that can happen next.
@@ -205,7 +205,7 @@
         match act {
             Act::Begin(gateway) => {
                 self.left.tries -= 1;
-                let mut claiming = Claiming::new(OPERATION, REQUEST);
+                let mut claiming = ClaimAttempt::new(OPERATION, REQUEST);
                 let step = claiming.begin(self.now_ms as f64, &mut self.gateways[gateway]);
                 let (begun_ms, phase) = (self.now_ms, Phase::Granted);
                 self.tries.push(Try { gateway, begun_ms, claiming, number: 0, phase });
@@ -296,27 +296,27 @@
     }
 
     /// What a try does next.
-    fn follow(&mut self, of: usize, step: Step) -> Result<(), String> {
+    fn follow(&mut self, of: usize, step: ClaimStep) -> Result<(), String> {
         self.tries[of].phase = match step {
-            Step::Claim(call) => {
+            ClaimStep::Claim(call) => {
                 self.tries[of].number = call.claimant.number;
                 self.claim_calls.push((of, call));
                 Phase::Claims(call)
             }
-            Step::Recall(call) => {
+            ClaimStep::Recall(call) => {
                 self.recall_calls.push((of, call));
                 Phase::Recalls(call)
             }
-            Step::Refused(Refusal::Answered(answer)) => Phase::Ended(self.told(&answer)?),
-            Step::Refused(Refusal::AtWork) => Phase::Ended(Told::AtWork),
-            Step::Refused(_) => Phase::Ended(Told::Failed),
+            ClaimStep::Refused(ClaimRefusal::Answered(answer)) => Phase::Ended(self.told(&answer)?),
+            ClaimStep::Refused(ClaimRefusal::InProgress) => Phase::Ended(Told::AtWork),
+            ClaimStep::Refused(_) => Phase::Ended(Told::Failed),
         };
         Ok(())
     }
 
     fn claimed(&mut self, of: usize, answer: Option<ClaimAnswer>) -> Result<(), String> {
         let Try { gateway, claiming, .. } = &mut self.tries[of];
-        match claiming.claimed(self.now_ms as f64, &mut self.gateways[*gateway], answer) {
+        match claiming.on_claim_answer(self.now_ms as f64, &mut self.gateways[*gateway], answer) {
             None => self.tries[of].phase = Phase::Granted,
             Some(step) => self.follow(of, step)?,
         }
@@ -331,13 +331,13 @@
     fn recalled(&mut self, of: usize, call: &RecallCall, answer: Option<RecallAnswer>) -> Result<(), String> {
         let Try { gateway, claiming, .. } = &mut self.tries[of];
         let table = &mut self.gateways[*gateway];
-        let step = claiming.recalled(self.now_ms as f64, table, call.claimant, answer);
+        let step = claiming.on_recall_answer(self.now_ms as f64, table, call.claimant, answer);
         self.follow(of, step)
     }
 
     /// The client's copy of an answer, which must be the first run's.
-    fn told(&self, answer: &Answer) -> Result<Told, String> {
-        let served = answer.for_attempt("a").and_then(|served| Answer::copy_of(&served));
+    fn told(&self, answer: &StoredAnswer) -> Result<Told, String> {
+        let served = answer.to_response("a").and_then(|served| StoredAnswer::from_response(&served));
         let mut told = served.ok_or("the answer can't be read")?.to_message();
         told.headers.retain(|(name, _)| name == "X-Response-Seal");
         match self.runs.last().is_some_and(|run| run.answer == told) {
@@ -372,9 +372,9 @@
             self.left.broken -= 1;
             self.doubt(call.by);
         } else if self.tries[call.by].phase == Phase::AtServer {
-            let kept = Answer::from_message(&answer).ok_or("no answer")?;
+            let kept = StoredAnswer::from_message(&answer).ok_or("no answer")?;
             self.tries[call.by].phase = Phase::Ended(self.told(&kept)?);
-            self.gateways[gateway].answer(self.now_ms as f64, OPERATION, number, kept);
+            self.gateways[gateway].record_answer(self.now_ms as f64, OPERATION, number, kept);
         }
         Ok(())
     }
@@ -403,7 +403,7 @@
     fn doubt(&mut self, of: usize) {
         let Try { gateway, number, .. } = self.tries[of];
         if self.tries[of].phase == Phase::AtServer {
-            self.gateways[gateway].doubt(self.now_ms as f64, OPERATION, number);
+            self.gateways[gateway].mark_in_doubt(self.now_ms as f64, OPERATION, number);
             self.tries[of].phase = Phase::Ended(Told::Failed);
         }
     }
--- a/crates/edge/tests/operations.rs
+++ b/crates/edge/tests/operations.rs
@@ -1,8 +1,8 @@
 //! The table of operations against a reference that forgets nothing, and its bounds.
 
 use bytes::Bytes;
-use nickeljunction_edge::exchange::{Served, ServedBody};
-use nickeljunction_edge::operations::{request_digest, Answer, Begun, Operations};
+use nickeljunction_edge::exchange::{ResponseBody, ServerResponse};
+use nickeljunction_edge::operations::{request_digest, BeginResult, OperationTable, StoredAnswer};
 use nickeljunction_http::stream::read_answer_head;
 use nickeljunction_messages::{Claimant, OperationId, RecallAnswer, RecallCall};
 use proptest::prelude::*;
@@ -13,24 +13,28 @@
 const LIFE: u64 = 7;
 const WINDOW_MS: f64 = 60_000.0;
 
-fn served(status: u16, body: &str) -> Served {
+fn served(status: u16, body: &str) -> ServerResponse {
     let text =
         format!("HTTP/1.1 {status} X\r\nX-Attempt-Id: 1\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n");
     let head = read_answer_head(&mut text.as_bytes().into(), 4096, false).unwrap().unwrap();
-    Served { status, headers: head.headers, body: ServedBody::Whole(Bytes::from(body.to_string())) }
+    ServerResponse {
+        status,
+        headers: head.headers,
+        body: ResponseBody::Buffered(Bytes::from(body.to_string())),
+    }
 }
 
-fn answer(body: &str) -> Answer {
-    Answer::copy_of(&served(200, body)).unwrap()
+fn answer(body: &str) -> StoredAnswer {
+    StoredAnswer::from_response(&served(200, body)).unwrap()
 }
 
-fn operations() -> Operations {
-    Operations::new(HOST, LIFE, WINDOW_MS)
+fn operations() -> OperationTable {
+    OperationTable::new(HOST, LIFE, WINDOW_MS)
 }
 
-fn claimed(begun: Begun) -> u64 {
+fn claimed(begun: BeginResult) -> u64 {
     match begun {
-        Begun::Claim { claimant, .. } => claimant.number,
+        BeginResult::Claim { claimant, .. } => claimant.number,
         other => panic!("{other:?}"),
     }
 }
@@ -59,29 +63,29 @@
 #[test]
 fn a_kept_answer_is_the_same_after_a_way_between_gateways() {
     let kept = answer("body");
-    let far = Answer::from_message(&kept.to_message()).unwrap();
+    let far = StoredAnswer::from_message(&kept.to_message()).unwrap();
     assert_eq!(far, kept);
-    let repeated = far.for_attempt("2").unwrap();
+    let repeated = far.to_response("2").unwrap();
     assert_eq!((repeated.status, repeated.headers.get("x-response-seal")), (200, Some("s")));
     assert_eq!(repeated.headers.all("x-attempt-id").collect::<Vec<_>>(), ["2"]);
-    assert!(matches!(repeated.body, ServedBody::Whole(body) if body == "body"));
+    assert!(matches!(repeated.body, ResponseBody::Buffered(body) if body == "body"));
 }
 
 #[test]
 fn the_oldest_answers_give_way_and_their_operations_stay_in_doubt() {
-    let mut table = operations().keeping(4_000);
+    let mut table = operations().with_max_answer_bytes(4_000);
     let ids: Vec<_> = (0..8).map(|at| OperationId::of(None, &at.to_string())).collect();
     for id in &ids {
         let number = claimed(table.begin(0.0, *id, 1));
-        table.answer(0.0, *id, number, answer(&"x".repeat(800)));
+        table.record_answer(0.0, *id, number, answer(&"x".repeat(800)));
     }
-    let (remembered, kept, bytes) = table.held();
+    let (remembered, kept, bytes) = table.usage();
     assert_eq!((remembered, kept), (8, 4));
     assert!(bytes <= 4_000, "{bytes}");
     for (at, id) in ids.iter().enumerate() {
         let begun = table.begin(1.0, *id, 1);
-        assert_eq!(matches!(begun, Begun::Answered(_)), at >= 4, "{begun:?}");
-        assert!(at >= 4 || begun == Begun::InDoubt);
+        assert_eq!(matches!(begun, BeginResult::Answered(_)), at >= 4, "{begun:?}");
+        assert!(at >= 4 || begun == BeginResult::InDoubt);
     }
 }
 
@@ -91,11 +95,11 @@
     let id = OperationId::of(Some("t"), "k");
     let number = claimed(table.begin(0.0, id, 1));
     // One at work is never forgotten.
-    assert_eq!(table.begin(1e6, id, 1), Begun::AtWork);
-    table.answer(1e6, id, number, answer("b"));
-    assert!(matches!(table.begin(1e6 + WINDOW_MS, id, 1), Begun::Answered(_)));
+    assert_eq!(table.begin(1e6, id, 1), BeginResult::InProgress);
+    table.record_answer(1e6, id, number, answer("b"));
+    assert!(matches!(table.begin(1e6 + WINDOW_MS, id, 1), BeginResult::Answered(_)));
     assert!(claimed(table.begin(1e6 + WINDOW_MS + 30_001.0, id, 1)) > number);
-    assert_eq!((table.held().1, table.held().2), (0, 0));
+    assert_eq!((table.usage().1, table.usage().2), (0, 0));
 }
 
 #[derive(Debug, Clone)]
@@ -160,17 +164,17 @@
                     reference.end(now, operation, number, End::Released);
                 }
                 Act::Answer(operation, number) => {
-                    table.answer(now, id(operation), number, answer("b"));
+                    table.record_answer(now, id(operation), number, answer("b"));
                     reference.end(now, operation, number, End::Answered);
                 }
                 Act::Doubt(operation, number) => {
-                    table.doubt(now, id(operation), number);
+                    table.mark_in_doubt(now, id(operation), number);
                     reference.end(now, operation, number, End::InDoubt);
                 }
                 Act::Begin(operation, request) => {
                     let newest = reference.newest(operation);
                     match table.begin(now, id(operation), request) {
-                        Begun::Claim { claimant, .. } => {
+                        BeginResult::Claim { claimant, .. } => {
                             prop_assert!(!reference.0.contains_key(&claimant.number), "a number is used once");
                             if let Some((_, _, end, since)) = newest {
                                 prop_assert!(end == End::Released || (end != End::AtWork && now >= since + WINDOW_MS));
@@ -180,10 +184,10 @@
                         begun => {
                             let (_, known, end, _) = newest.expect("begun before");
                             let fits = match begun {
-                                Begun::AtWork => end == End::AtWork && known == request,
-                                Begun::Answered(_) => end == End::Answered && known == request,
-                                Begun::InDoubt => end == End::InDoubt && known == request,
-                                Begun::OtherRequest => end != End::Released && known != request,
+                                BeginResult::InProgress => end == End::AtWork && known == request,
+                                BeginResult::Answered(_) => end == End::Answered && known == request,
+                                BeginResult::InDoubt => end == End::InDoubt && known == request,
+                                BeginResult::OtherRequest => end != End::Released && known != request,
                                 _ => false,
                             };
                             prop_assert!(fits, "{begun:?} of {end:?}");
--- a/crates/edge/tests/pipeline.rs
+++ b/crates/edge/tests/pipeline.rs
@@ -4,11 +4,11 @@
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{
-    Admission, Admitted, Dispatch, Exchange, Part, Served, ServedBody, Stream,
+    Admission, AdmissionDecision, BodyPart, BodyStream, Dispatch, Exchange, ResponseBody, ServerResponse,
 };
 use nickeljunction_edge::front::{Front, Lifecycle};
 use nickeljunction_edge::shutdown::Shutdown;
-use nickeljunction_edge::table::{Swap, Table};
+use nickeljunction_edge::table::{SnapshotCell, Table};
 use nickeljunction_http::stream::{read_answer_head, BodyReader};
 use nickeljunction_http::{Chunk, Headers};
 use nickeljunction_net::budget::Budget;
@@ -39,15 +39,15 @@
 struct Open;
 
 impl Admission for Open {
-    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
-        Box::pin(async { Admitted::Until(f64::INFINITY) })
+    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>> {
+        Box::pin(async { AdmissionDecision::Admitted(f64::INFINITY) })
     }
 
-    fn also(&self, _: &str) -> bool {
+    fn take_extra_unit(&self, _: &str) -> bool {
         true
     }
 
-    fn stale(&self) -> Option<f64> {
+    fn stale_retry_after_ms(&self) -> Option<f64> {
         None
     }
 }
@@ -68,7 +68,7 @@
         let wheel = Wheel::new(Clock::start());
         tokio::task::spawn_local(wheel.clone().run());
         let (servers, lifecycle) = (Rc::new(Servers::default()), Rc::new(Lifecycle::default()));
-        let table = Rc::new(Swap::new(Table::of(document.config())));
+        let table = Rc::new(SnapshotCell::new(Table::of(document.config())));
         let (open, budget) = (Rc::new(Open), Budget::new(100));
         let front = Front::new(wheel.clone(), table, open, servers.clone(), lifecycle.clone(), budget, 7);
         World { front, servers, lifecycle, wheel }
@@ -104,20 +104,24 @@
         match end {
             End::Failed => drop(exchange.reply.send(Answer::Failed)),
             End::Good => {
-                let body = ServedBody::Whole(Bytes::from(body));
-                drop(exchange.reply.send(Answer::Served(Served { status: 200, headers, body })));
+                let body = ResponseBody::Buffered(Bytes::from(body));
+                drop(exchange.reply.send(Answer::Served(ServerResponse { status: 200, headers, body })));
             }
             End::Streamed | End::Broken => {
                 let (to, parts) = mpsc::channel(2);
                 let body_length = Some(body.len() as u64);
-                let served = ServedBody::Streamed(Stream { length: body_length, parts });
-                drop(exchange.reply.send(Answer::Served(Served { status: 200, headers, body: served })));
+                let served = ResponseBody::Streamed(BodyStream { length: body_length, parts });
+                drop(exchange.reply.send(Answer::Served(ServerResponse {
+                    status: 200,
+                    headers,
+                    body: served,
+                })));
                 let whole = end == End::Streamed;
                 tokio::task::spawn_local(async move {
                     let sent = if whole { body } else { body[..3].to_string() };
-                    let _ = to.send(Part::Data(Bytes::from(sent))).await;
+                    let _ = to.send(BodyPart::Data(Bytes::from(sent))).await;
                     if whole {
-                        let _ = to.send(Part::End).await;
+                        let _ = to.send(BodyPart::End).await;
                     }
                 });
             }
