--- a/crates/edge/tests/proxy.rs
+++ b/crates/edge/tests/proxy.rs
@@ -4,12 +4,13 @@
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{
-    Admission, Admitted, Body, Dispatch, Exchange, Part, Served, ServedBody, Stream,
+    Admission, AdmissionDecision, BodyPart, BodyStream, Dispatch, Exchange, RequestBody, ResponseBody,
+    ServerResponse,
 };
 use nickeljunction_edge::figures::{Backend, Tuning};
 use nickeljunction_edge::proxy::Proxy;
 use nickeljunction_edge::shutdown::Shutdown;
-use nickeljunction_edge::upstream::Place;
+use nickeljunction_edge::upstream::Location;
 use nickeljunction_http::stream::{read_request_head, BodyReader};
 use nickeljunction_http::{Chunk, Headers};
 use nickeljunction_messages::{ServerInfo, ServerState};
@@ -90,7 +91,7 @@
     ) -> Rig {
         let wheel = Wheel::new(Clock::start());
         tokio::task::spawn_local(wheel.clone().run());
-        let here = Place { name: "g1".into(), zone: "n1".into(), region: "n".into() };
+        let here = Location { name: "g1".into(), zone: "n1".into(), region: "n".into() };
         let proxy = Proxy::new(wheel.clone(), Budget::new(1_000), here, 7, tuning);
         tokio::task::spawn_local(proxy.clone().run());
         let (arrivals, hung_up) = (Rc::new(RefCell::new(Vec::new())), Rc::new(Notify::new()));
@@ -106,9 +107,9 @@
             lines.push(ServerInfo { id, backend, address, zone, slots: 2, state, cold: None });
         }
         let rig = Rig { proxy, wheel, arrivals, hung_up, lines };
-        rig.proxy.fleet(1);
+        rig.proxy.set_gateway_count(1);
         let backend = Backend { max_connections: 100, warmup_per_s: 0.001 };
-        rig.proxy.backends(HashMap::from([("b".to_string(), backend)]));
+        rig.proxy.update_backends(HashMap::from([("b".to_string(), backend)]));
         rig.list(&[]);
         rig
     }
@@ -117,11 +118,15 @@
         let zones = [("n1", "n"), ("n2", "n"), ("s1", "s")];
         let regions = zones.iter().map(|(zone, region)| (zone.to_string(), region.to_string())).collect();
         let evacuated: Vec<String> = evacuated.iter().map(|zone| zone.to_string()).collect();
-        self.proxy.servers(&self.lines, &evacuated, &regions);
+        self.proxy.update_servers(&self.lines, &evacuated, &regions);
     }
 
     /// A request of this id, and where its answer comes.
-    fn exchange(&self, id: &str, repeat: RetrySafety) -> (Exchange, oneshot::Receiver<Answer<Served>>) {
+    fn exchange(
+        &self,
+        id: &str,
+        repeat: RetrySafety,
+    ) -> (Exchange, oneshot::Receiver<Answer<ServerResponse>>) {
         let mut head = BytesMut::from(
             "GET /a?b HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer k\r\nX-Tenant-Name: forged\r\nX-Attempt-Id: x\r\n\
              X-Expected-Instance: forged\r\nX-Other: kept\r\nConnection: keep-alive\r\n\r\n",
@@ -132,24 +137,24 @@
             method: head.method,
             target: head.target,
             headers: head.headers,
-            body: Body::Whole(Bytes::new()),
+            body: RequestBody::Buffered(Bytes::new()),
             attempt_id: id.to_string(),
             tenant: Some("t".into()),
-            unit_until: f64::INFINITY,
+            unit_valid_until: f64::INFINITY,
             backend: "b".into(),
-            homes: Rc::new([]),
-            repeat,
-            aim_ms: 4_000.0,
+            home_regions: Rc::new([]),
+            retry_safety: repeat,
+            target_latency_ms: 4_000.0,
             max_attempts: 2,
             priority: 0,
             arrived: self.wheel.now(),
-            patience_ms: 10_000.0,
+            timeout_ms: 10_000.0,
             reply,
         };
         (exchange, answer)
     }
 
-    async fn ask(&self, id: &str, repeat: RetrySafety) -> Answer<Served> {
+    async fn ask(&self, id: &str, repeat: RetrySafety) -> Answer<ServerResponse> {
         let (exchange, answer) = self.exchange(id, repeat);
         self.proxy.dispatch(exchange);
         answer.await.expect("exactly one answer")
@@ -226,9 +231,9 @@
 }
 
 /// Status and whole body of an answer; 0 for a failure, 1 for a refusal.
-fn told(answer: Answer<Served>) -> (u16, String) {
+fn told(answer: Answer<ServerResponse>) -> (u16, String) {
     match answer {
-        Answer::Served(Served { status, body: ServedBody::Whole(body), .. }) => {
+        Answer::Served(ServerResponse { status, body: ResponseBody::Buffered(body), .. }) => {
             (status, String::from_utf8(body.to_vec()).expect("text"))
         }
         Answer::Served(served) => (served.status, "streamed".into()),
@@ -342,8 +347,9 @@
         });
         let rig = rig.await;
         for (id, complete) in [("a", true), ("b", false), ("c", true)] {
-            let Answer::Served(Served { status: 200, body: ServedBody::Streamed(mut body), .. }) =
-                rig.ask(id, SAFE).await
+            let Answer::Served(ServerResponse {
+                status: 200, body: ResponseBody::Streamed(mut body), ..
+            }) = rig.ask(id, SAFE).await
             else {
                 panic!("a streamed answer")
             };
@@ -352,14 +358,14 @@
             while let Some(part) = body.parts.recv().await {
                 assert!(!ended && body.parts.len() <= 2);
                 match part {
-                    Part::Data(bytes) => length += bytes.len(),
-                    Part::End => ended = true,
+                    BodyPart::Data(bytes) => length += bytes.len(),
+                    BodyPart::End => ended = true,
                 }
             }
             assert_eq!((ended, length == LONG), (complete, complete), "{id}: {length}");
         }
-        rig.proxy.idle().await;
-        assert_eq!((rig.proxy.busy(), rig.servers().len()), (0, 3));
+        rig.proxy.wait_until_idle().await;
+        assert_eq!((rig.proxy.active_requests(), rig.servers().len()), (0, 3));
         let connections: Vec<_> = rig.arrivals.borrow().iter().map(|arrival| arrival.connection).collect();
         assert_eq!(connections, [0, 0, 1], "kept after a whole answer");
     });
@@ -372,8 +378,8 @@
         let mut rig = Rig::new(&["n1", "n2", "s1"], roomy(), answers).await;
         let ask = |rig: &Rig, homes: &[&str], patience_ms| {
             let (mut exchange, answer) = rig.exchange("a", SAFE);
-            exchange.homes = homes.iter().map(|home| home.to_string()).collect();
-            exchange.patience_ms = patience_ms;
+            exchange.home_regions = homes.iter().map(|home| home.to_string()).collect();
+            exchange.timeout_ms = patience_ms;
             rig.arrivals.borrow_mut().clear();
             rig.proxy.dispatch(exchange);
             async { told(answer.await.expect("an answer")).0 }
@@ -410,7 +416,7 @@
         rig.list(&[]);
         assert_eq!((told(rig.ask("b", ONCE).await), &rig.servers()[1][..]), (fine("b"), "s1"));
         let counts = rig.proxy.counts();
-        assert_eq!((counts.unconnected, counts.repeats), (1, 0), "{}", rig.proxy.note());
+        assert_eq!((counts.unconnected, counts.repeats), (1, 0), "{}", rig.proxy.log_line());
     });
 }
 
@@ -460,7 +466,7 @@
             (counts.sends + counts.repeats, counts.sends),
             (arrivals as u64, 60),
             "{}",
-            rig.proxy.note()
+            rig.proxy.log_line()
         );
     });
 }
@@ -469,15 +475,15 @@
 struct Spent;
 
 impl Admission for Spent {
-    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
+    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>> {
         unreachable!("the clients' side asks for it")
     }
 
-    fn also(&self, _: &str) -> bool {
+    fn take_extra_unit(&self, _: &str) -> bool {
         false
     }
 
-    fn stale(&self) -> Option<f64> {
+    fn stale_retry_after_ms(&self) -> Option<f64> {
         None
     }
 }
@@ -487,12 +493,12 @@
     run(async {
         let rig = Rig::new(&["n1", "n2"], roomy(), |_, _| vec![Act::Reset]).await;
         let spent: Rc<dyn Admission> = Rc::new(Spent);
-        rig.proxy.units(Rc::downgrade(&spent));
+        rig.proxy.set_admission(Rc::downgrade(&spent));
         let answer = rig.ask("a", SAFE).await;
         assert!(matches!(answer, Answer::ShortOnCapacityReply(_)), "its one unit was used");
         assert_eq!(rig.servers().len(), 1);
         let (mut exchange, answer) = rig.exchange("b", ONCE);
-        exchange.unit_until = exchange.arrived - 1.0;
+        exchange.unit_valid_until = exchange.arrived - 1.0;
         rig.proxy.dispatch(exchange);
         let answer = answer.await.expect("exactly one answer");
         assert!(matches!(answer, Answer::ShortOnCapacityReply(_)), "it never ran");
@@ -501,7 +507,7 @@
 }
 
 /// Has the one server of the region work on requests until it takes no more.
-async fn fill(rig: &Rig) -> Vec<oneshot::Receiver<Answer<Served>>> {
+async fn fill(rig: &Rig) -> Vec<oneshot::Receiver<Answer<ServerResponse>>> {
     let mut at_work = Vec::new();
     while rig.servers().len() < 2 {
         let (exchange, answer) = rig.exchange("at work", SAFE);
@@ -516,7 +522,7 @@
 async fn is_left_after(refused: usize, full: bool, sort: impl Fn(&mut Exchange)) -> bool {
     let rig = Rig::new(&["n1", "s1"], roomy(), |_, _| vec![Act::Hang]).await;
     let spent: Rc<dyn Admission> = Rc::new(Spent);
-    rig.proxy.units(Rc::downgrade(&spent));
+    rig.proxy.set_admission(Rc::downgrade(&spent));
     let _before = if full { fill(&rig).await } else { Vec::new() };
     for _ in 0..refused {
         let (mut exchange, answer) = rig.exchange("refused", SAFE);
@@ -535,11 +541,12 @@
 #[test]
 fn a_region_is_left_for_want_of_room_alone() {
     run(async {
-        let in_vain = |exchange: &mut Exchange| (exchange.aim_ms, exchange.patience_ms) = (100.0, 400.0);
+        let in_vain =
+            |exchange: &mut Exchange| (exchange.target_latency_ms, exchange.timeout_ms) = (100.0, 400.0);
         assert!(is_left_after(6, true, in_vain).await, "they waited for the full server");
-        let no_unit = |exchange: &mut Exchange| exchange.unit_until = exchange.arrived - 1.0;
+        let no_unit = |exchange: &mut Exchange| exchange.unit_valid_until = exchange.arrived - 1.0;
         assert!(!is_left_after(20, false, no_unit).await, "no unit");
-        let no_time = |exchange: &mut Exchange| exchange.patience_ms = 1.0;
+        let no_time = |exchange: &mut Exchange| exchange.timeout_ms = 1.0;
         assert!(!is_left_after(20, false, no_time).await, "no time");
     });
 }
@@ -552,20 +559,20 @@
         for length in [Some(6), None] {
             let (mut exchange, answer) = rig.exchange("a", ONCE);
             let (to, parts) = mpsc::channel(2);
-            exchange.body = Body::Streamed(RefCell::new(Some(Stream { length, parts })));
+            exchange.body = RequestBody::Streamed(RefCell::new(Some(BodyStream { length, parts })));
             rig.proxy.dispatch(exchange);
             for part in ["abc", "def"] {
-                to.send(Part::Data(Bytes::from(part))).await.expect("wanted");
+                to.send(BodyPart::Data(Bytes::from(part))).await.expect("wanted");
             }
-            to.send(Part::End).await.expect("wanted");
+            to.send(BodyPart::End).await.expect("wanted");
             assert_eq!(told(answer.await.expect("an answer")), fine("a"));
         }
         // One that breaks off is not sent again, and its connection ends.
         let (mut exchange, answer) = rig.exchange("b", SAFE);
         let (to, parts) = mpsc::channel(2);
-        exchange.body = Body::Streamed(RefCell::new(Some(Stream { length: Some(6), parts })));
+        exchange.body = RequestBody::Streamed(RefCell::new(Some(BodyStream { length: Some(6), parts })));
         rig.proxy.dispatch(exchange);
-        to.send(Part::Data(Bytes::from("abc"))).await.expect("wanted");
+        to.send(BodyPart::Data(Bytes::from("abc"))).await.expect("wanted");
         drop(to);
         assert!(told(answer.await.expect("an answer")).0 < 2);
         let arrivals = rig.arrivals.borrow();
@@ -601,12 +608,12 @@
         };
         under_way("a", SAFE, 0).await;
         rig.hung_up.notified().await;
-        rig.proxy.idle().await;
+        rig.proxy.wait_until_idle().await;
         under_way("b", ONCE, 1).await;
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(rig.proxy.busy(), 1, "its server is at work on it");
+        assert_eq!(rig.proxy.active_requests(), 1, "its server is at work on it");
     });
 }
 
@@ -625,7 +632,7 @@
     .await;
     let exchange = |id: &str| {
         let (exchange, answer) = rig.exchange(id, SAFE);
-        (Exchange { aim_ms: 500.0, ..exchange }, answer)
+        (Exchange { target_latency_ms: 500.0, ..exchange }, answer)
     };
     for _ in 0..KNOWN {
         let (exchange, answer) = exchange("known");
@@ -633,7 +640,7 @@
         assert_eq!(told(answer.await.expect("exactly one answer")), fine("known"));
     }
     if leave {
-        rig.proxy.leave(Shutdown::begin(rig.wheel.now(), 0.0, GRACE_MS));
+        rig.proxy.begin_shutdown(Shutdown::begin(rig.wheel.now(), 0.0, GRACE_MS));
     }
     let (exchange, mut answer) = exchange("a");
     rig.proxy.dispatch(exchange);
@@ -644,7 +651,7 @@
     assert!(answer.try_recv().is_err(), "its first server is still at work");
     done.notify_one();
     let answer = told(answer.await.expect("exactly one answer"));
-    rig.proxy.idle().await;
+    rig.proxy.wait_until_idle().await;
     answer
 }
 
@@ -670,7 +677,7 @@
     run(async {
         let rig = Rig::new(&["n1"], roomy(), |_, arrival| vec![Act::Say(good(&arrival.id))]).await;
         assert_eq!(told(rig.ask("before", ONCE).await), fine("before"));
-        rig.proxy.leave(Shutdown::begin(rig.wheel.now(), 0.0, GRACE_MS));
+        rig.proxy.begin_shutdown(Shutdown::begin(rig.wheel.now(), 0.0, GRACE_MS));
         assert_eq!(told(rig.ask("after", ONCE).await), fine("after"));
         let arrivals = rig.arrivals.borrow();
         assert!(time_told(&arrivals[0]) > 9_000.0);
@@ -687,7 +694,7 @@
         let known = proxy.clone();
         let rig = Rig::new(&["n1", "n2"], roomy(), move |_, arrival| {
             let (proxy, wheel) = known.get().expect("made");
-            proxy.leave(Shutdown::begin(wheel.now(), 0.0, 0.0));
+            proxy.begin_shutdown(Shutdown::begin(wheel.now(), 0.0, 0.0));
             vec![Act::Say(away(&arrival.id, 503))]
         })
         .await;
@@ -697,6 +704,6 @@
         }
         // The second came after the order: no server had it.
         assert_eq!(rig.arrivals.borrow().len(), 1);
-        rig.proxy.idle().await;
+        rig.proxy.wait_until_idle().await;
     });
 }
--- a/crates/edge/tests/shutdown.rs
+++ b/crates/edge/tests/shutdown.rs
@@ -4,10 +4,12 @@
 use bytes::Bytes;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::drain::drain;
-use nickeljunction_edge::exchange::{Admission, Admitted, Dispatch, Exchange, Served, ServedBody};
+use nickeljunction_edge::exchange::{
+    Admission, AdmissionDecision, Dispatch, Exchange, ResponseBody, ServerResponse,
+};
 use nickeljunction_edge::front::{Front, Lifecycle};
 use nickeljunction_edge::shutdown::Shutdown;
-use nickeljunction_edge::table::{Swap, Table};
+use nickeljunction_edge::table::{SnapshotCell, Table};
 use nickeljunction_http::Headers;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
@@ -53,14 +55,17 @@
 impl Dispatch for Servers {
     fn dispatch(&self, exchange: Exchange) {
         let now = self.wheel.now();
-        let deadline = exchange.arrived + exchange.patience_ms;
+        let deadline = exchange.arrived + exchange.timeout_ms;
         let bounded =
             self.lifecycle.shutdown().map_or(deadline, |shutdown| shutdown.bound_deadline(deadline));
         let (work_ms, way_ms) = {
             let mut draws = self.draws.borrow_mut();
             // Most work is short, some lasts as long as it may.
             let long = draws.u8(..4) == 0;
-            (if long { f64::INFINITY } else { draws.f64() * exchange.aim_ms }, draws.f64() * WAY_MS)
+            (
+                if long { f64::INFINITY } else { draws.f64() * exchange.target_latency_ms },
+                draws.f64() * WAY_MS,
+            )
         };
         let (ended, status) = match now + work_ms < bounded {
             true => (now + work_ms, 200),
@@ -77,7 +82,8 @@
             let mut from = bytes::BytesMut::from(&lines[..]);
             let head = nickeljunction_http::stream::read_answer_head(&mut from, 4_096, false);
             let headers: Headers = head.expect("well formed").expect("whole").headers;
-            let served = Served { status, headers, body: ServedBody::Whole(Bytes::from_static(b"ok")) };
+            let served =
+                ServerResponse { status, headers, body: ResponseBody::Buffered(Bytes::from_static(b"ok")) };
             let _ = exchange.reply.send(Answer::Served(served));
         });
     }
@@ -86,15 +92,15 @@
 struct Open;
 
 impl Admission for Open {
-    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
-        Box::pin(async { Admitted::Until(f64::INFINITY) })
+    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>> {
+        Box::pin(async { AdmissionDecision::Admitted(f64::INFINITY) })
     }
 
-    fn also(&self, _: &str) -> bool {
+    fn take_extra_unit(&self, _: &str) -> bool {
         true
     }
 
-    fn stale(&self) -> Option<f64> {
+    fn stale_retry_after_ms(&self) -> Option<f64> {
         None
     }
 }
@@ -156,7 +162,7 @@
     });
     let front = Front::new(
         wheel.clone(),
-        Rc::new(Swap::new(table)),
+        Rc::new(SnapshotCell::new(table)),
         Rc::new(Open),
         servers.clone(),
         lifecycle.clone(),
--- a/crates/edge/tests/shutdown_world/mod.rs
+++ b/crates/edge/tests/shutdown_world/mod.rs
@@ -8,13 +8,13 @@
 pub use servers::{Run, Server};
 
 use nickeljunction_edge::drain::drain;
-use nickeljunction_edge::exchange::{Admission, Admitted};
+use nickeljunction_edge::exchange::{Admission, AdmissionDecision};
 use nickeljunction_edge::figures::{Backend, Tuning};
 use nickeljunction_edge::front::{Front, Lifecycle};
 use nickeljunction_edge::proxy::Proxy;
 use nickeljunction_edge::shutdown::Shutdown;
-use nickeljunction_edge::table::{Swap, Table};
-use nickeljunction_edge::upstream::Place;
+use nickeljunction_edge::table::{SnapshotCell, Table};
+use nickeljunction_edge::upstream::Location;
 use nickeljunction_messages::ServerInfo;
 use nickeljunction_net::budget::Budget;
 use nickeljunction_net::clock::Clock;
@@ -91,15 +91,15 @@
 struct Open;
 
 impl Admission for Open {
-    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
-        Box::pin(async { Admitted::Until(f64::INFINITY) })
+    fn admit<'a>(&'a self, _: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>> {
+        Box::pin(async { AdmissionDecision::Admitted(f64::INFINITY) })
     }
 
-    fn also(&self, _: &str) -> bool {
+    fn take_extra_unit(&self, _: &str) -> bool {
         true
     }
 
-    fn stale(&self) -> Option<f64> {
+    fn stale_retry_after_ms(&self) -> Option<f64> {
         None
     }
 }
@@ -108,15 +108,15 @@
 async fn gateway(listener: TcpListener, seed: u64, mut orders: mpsc::UnboundedReceiver<Order>) {
     let wheel = Wheel::new(Clock::start());
     spawn_local(wheel.clone().run());
-    let here = Place { name: "g".into(), zone: "n1".into(), region: "n".into() };
+    let here = Location { name: "g".into(), zone: "n1".into(), region: "n".into() };
     let budget = Budget::new(10_000);
     let tuning = Tuning { retry_slack: 1_000, ..Tuning::default() };
     let proxy = Proxy::new(wheel.clone(), budget.clone(), here, seed, tuning);
     spawn_local(proxy.clone().run());
-    proxy.fleet(1);
+    proxy.set_gateway_count(1);
     let backend = Backend { max_connections: 500, warmup_per_s: 0.0 };
-    proxy.backends(HashMap::from([("b".to_string(), backend)]));
-    let table = Rc::new(Swap::new(Table::of(document(0).config())));
+    proxy.update_backends(HashMap::from([("b".to_string(), backend)]));
+    let table = Rc::new(SnapshotCell::new(Table::of(document(0).config())));
     let lifecycle = Rc::new(Lifecycle::default());
     let admission = Rc::new(Open);
     let front =
@@ -132,14 +132,14 @@
                 Order::Hup => {}
                 Order::Config(more_ms, lines) => {
                     table.set(Table::of(document(more_ms).config()));
-                    taker.servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
+                    taker.update_servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
                 }
             }
         }
     });
     termed.recv().await;
     let shutdown = Shutdown::begin(wheel.now(), wheel.unseen_ms(), GRACE_MS);
-    proxy.leave(shutdown);
+    proxy.begin_shutdown(shutdown);
     lifecycle.leave(shutdown);
     drain(&wheel, &lifecycle, shutdown, async {}).await;
 }
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -4,9 +4,9 @@
     Class, DedupScope, Facade, Intake, Outcome, Report, RequestKey, RetrySafety, ServiceTable, Verdict,
 };
 use nickeljunction_edge::figures::Tuning;
-use nickeljunction_edge::preference::{order, subset_least};
-use nickeljunction_edge::selection::{ready, settings, Scope};
-use nickeljunction_edge::upstream::{weight, Nearness, Place, Upstream};
+use nickeljunction_edge::preference::{min_subset_size, rendezvous_rank};
+use nickeljunction_edge::selection::{decision_settings, ready_entry, FleetLayout};
+use nickeljunction_edge::upstream::{locality_weight, LocalityWeights, Location, Upstream};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
@@ -37,12 +37,12 @@
     turned_away: usize,
 }
 
-fn place(name: String, at: usize) -> Place {
-    Place { name, zone: format!("z{}", at % 9), region: format!("r{}", at % 3) }
+fn place(name: String, at: usize) -> Location {
+    Location { name, zone: format!("z{}", at % 9), region: format!("r{}", at % 3) }
 }
 
 fn upstream(at: usize) -> Upstream {
-    let Place { zone, region, name: id } = place(format!("i-{at:010x}"), at);
+    let Location { zone, region, name: id } = place(format!("i-{at:010x}"), at);
     let address = "127.0.0.1:1".parse().expect("an address");
     Upstream { id, backend: "b".into(), address, zone, region, slots: SLOTS, cold: false }
 }
@@ -60,12 +60,14 @@
         stream: false,
         worth: 1.0,
     };
-    let weigh = |server: &Upstream| weight(server, &[], &here, &Nearness::default(), false);
+    let weigh = |server: &Upstream| locality_weight(server, &[], &here, &LocalityWeights::default(), false);
     let own: Vec<&Upstream> = servers.iter().filter(|server| weigh(server).is_some()).collect();
-    let least = Scope::new(shape.gateways as u32, servers.iter()).subset_least(own.iter().copied(), &here);
-    let settings = settings(&Tuning::default(), &here, vec![class], 1, least);
+    let least =
+        FleetLayout::new(shape.gateways as u32, servers.iter()).min_subset_size(own.iter().copied(), &here);
+    let settings = decision_settings(&Tuning::default(), &here, vec![class], 1, least);
     let mut facade = Facade::new(settings, at as u64, false).expect("good settings");
-    let regions = own.iter().map(|server| ready(server, &here, weigh(server).expect("allowed"))).collect();
+    let regions =
+        own.iter().map(|server| ready_entry(server, &here, weigh(server).expect("allowed"))).collect();
     facade.report(0.0, Report::Table { table: ServiceTable { rev: 1, all: true, regions }, saved: false });
     facade
 }
@@ -225,7 +227,9 @@
 fn a_server_that_comes_or_goes_moves_no_other_in_a_gateways_order() {
     let ranked = |servers: &[usize]| {
         let mut ids: Vec<String> = servers.iter().map(|at| upstream(*at).id).collect();
-        ids.sort_by(|a, b| order("edge-5", a, SLOTS).total_cmp(&order("edge-5", b, SLOTS)));
+        ids.sort_by(|a, b| {
+            rendezvous_rank("edge-5", a, SLOTS).total_cmp(&rendezvous_rank("edge-5", b, SLOTS))
+        });
         ids
     };
     let all: Vec<usize> = (0..200).collect();
@@ -241,7 +245,7 @@
     // One server of five has 4 slots, the others 1: first at half of the gateways.
     let slots = [4, 1, 1, 1, 1];
     let first = |gateway: &String| {
-        let place = |at: &usize| order(gateway, &format!("s{at}"), slots[*at]);
+        let place = |at: &usize| rendezvous_rank(gateway, &format!("s{at}"), slots[*at]);
         (0..slots.len()).min_by(|a, b| place(a).total_cmp(&place(b))).expect("some")
     };
     let gateways: Vec<String> = (0..4_000).map(|at| format!("edge-{at}")).collect();
@@ -251,8 +255,8 @@
 
 #[test]
 fn the_subset_grows_with_the_servers_that_each_gateway_has_to_cover() {
-    assert_eq!(subset_least(300, 1.0), 300.0);
-    assert_eq!(subset_least(300, 4.0), 300.0);
-    assert_eq!(subset_least(300, 300.0), 8.0);
-    assert_eq!(subset_least(0, 10.0), 0.0);
+    assert_eq!(min_subset_size(300, 1.0), 300.0);
+    assert_eq!(min_subset_size(300, 4.0), 300.0);
+    assert_eq!(min_subset_size(300, 300.0), 8.0);
+    assert_eq!(min_subset_size(0, 10.0), 0.0);
 }
--- a/crates/edge/tests/stories.rs
+++ b/crates/edge/tests/stories.rs
@@ -4,11 +4,11 @@
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
-use nickeljunction_edge::exchange::{Body, Dispatch, Exchange, Served, ServedBody};
+use nickeljunction_edge::exchange::{Dispatch, Exchange, RequestBody, ResponseBody, ServerResponse};
 use nickeljunction_edge::figures::{Backend, Tuning};
 use nickeljunction_edge::proxy::Proxy;
 use nickeljunction_edge::shutdown::Shutdown;
-use nickeljunction_edge::upstream::Place;
+use nickeljunction_edge::upstream::Location;
 use nickeljunction_http::stream::read_request_head;
 use nickeljunction_messages::{ServerInfo, ServerState};
 use nickeljunction_net::budget::Budget;
@@ -169,7 +169,7 @@
     id: &str,
     repeat: RetrySafety,
     patience_ms: f64,
-) -> (Exchange, oneshot::Receiver<Answer<Served>>) {
+) -> (Exchange, oneshot::Receiver<Answer<ServerResponse>>) {
     let mut head = BytesMut::from("GET /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: x\r\n\r\n");
     let head = read_request_head(&mut head, 4_096).expect("good").expect("whole");
     let (reply, answer) = oneshot::channel();
@@ -177,18 +177,18 @@
         method: head.method,
         target: head.target,
         headers: head.headers,
-        body: Body::Whole(Bytes::new()),
+        body: RequestBody::Buffered(Bytes::new()),
         attempt_id: id.to_string(),
         tenant: None,
-        unit_until: f64::INFINITY,
+        unit_valid_until: f64::INFINITY,
         backend: "b".into(),
-        homes: Rc::new([]),
-        repeat,
-        aim_ms: 500.0,
+        home_regions: Rc::new([]),
+        retry_safety: repeat,
+        target_latency_ms: 500.0,
         max_attempts: MOST,
         priority: 0,
         arrived: wheel.now(),
-        patience_ms,
+        timeout_ms: patience_ms,
         reply,
     };
     (exchange, answer)
@@ -217,7 +217,7 @@
 async fn story(wheel: Wheel, seed: u64) -> Tally {
     let draws = RefCell::new(fastrand::Rng::with_seed(seed));
     let book = Rc::new(Book { wheel: wheel.clone(), draws, lines: RefCell::default() });
-    let here = Place { name: "g1".into(), zone: "n1".into(), region: "n".into() };
+    let here = Location { name: "g1".into(), zone: "n1".into(), region: "n".into() };
     let tuning = Tuning { retry_slack: 1_000, ..Tuning::default() };
     let proxy = Proxy::new(wheel.clone(), Budget::new(200), here, seed, tuning);
     let (mut tasks, mut lines) = (JoinSet::new(), Vec::new());
@@ -242,9 +242,12 @@
             }
         });
     }
-    proxy.fleet(1);
-    proxy.backends(HashMap::from([("b".to_string(), Backend { max_connections: 100, warmup_per_s: 0.0 })]));
-    proxy.servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
+    proxy.set_gateway_count(1);
+    proxy.update_backends(HashMap::from([(
+        "b".to_string(),
+        Backend { max_connections: 100, warmup_per_s: 0.0 },
+    )]));
+    proxy.update_servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
     let mut draws = fastrand::Rng::with_seed(!seed);
     let leaves_at = if draws.bool() { draws.f64() * 400.0 } else { f64::INFINITY };
     let mut clients = JoinSet::new();
@@ -264,7 +267,7 @@
             let told = match wheel.timeout(goes_ms.min(60_000.0), answer).await {
                 None => Told::Gone,
                 Some(answer) => match answer.expect("exactly one answer") {
-                    Answer::Served(Served { status, body: ServedBody::Whole(body), .. }) => {
+                    Answer::Served(ServerResponse { status, body: ResponseBody::Buffered(body), .. }) => {
                         Told::Served(status, String::from_utf8(body.to_vec()).expect("text"))
                     }
                     Answer::Served(_) => panic!("{id}: a long answer"),
@@ -279,14 +282,14 @@
     }
     if leaves_at.is_finite() {
         wheel.sleep(leaves_at).await;
-        proxy.leave(Shutdown::begin(wheel.now(), 0.0, GRACE_MS));
+        proxy.begin_shutdown(Shutdown::begin(wheel.now(), 0.0, GRACE_MS));
     }
     let mut ends = Vec::new();
     while let Some(end) = clients.join_next().await {
         ends.push(end.expect("a client"));
     }
     // What is still under way may yet run.
-    proxy.idle().await;
+    proxy.wait_until_idle().await;
     let mut tally = Tally::default();
     for (id, repeat, told) in ends {
         let line = book.lines.borrow().get(&id).copied().unwrap_or_default();
--- a/crates/edge/tests/units.rs
+++ b/crates/edge/tests/units.rs
@@ -3,7 +3,7 @@
 mod link_world;
 
 use link_world::{link, serve, wheel};
-use nickeljunction_edge::exchange::{Admission, Admitted};
+use nickeljunction_edge::exchange::{Admission, AdmissionDecision};
 use nickeljunction_messages::{path, UnitsCall, VersionedConfig, WatchAnswer};
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
 use nickeljunction_net::wheel::Wheel;
@@ -65,7 +65,7 @@
 
 /// What the second of two requests is told, of which the first one's call goes out at once and its own 150 ms later; and how
 /// long it waited, ms.
-async fn second(way_ms: f64) -> (Admitted, f64) {
+async fn second(way_ms: f64) -> (AdmissionDecision, f64) {
     let wheel = wheel();
     let mut counter = Counter::new(wheel.now() as u64, 1, Tuning::new(5_000), BTreeMap::new());
     counter.set_limits(wheel.now() as u64, &BTreeMap::from([("t".into(), Limit { cap: 50, pace: 50 })]));
@@ -89,8 +89,14 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (admitted, waited) = second(100.0).await;
-        assert!(matches!(admitted, Admitted::Until(_)) && waited > 220.0, "{admitted:?} after {waited}");
+        assert!(
+            matches!(admitted, AdmissionDecision::Admitted(_)) && waited > 220.0,
+            "{admitted:?} after {waited}"
+        );
         let (admitted, waited) = second(200.0).await;
-        assert!(matches!(admitted, Admitted::Beyond(_)) && waited < 290.0, "{admitted:?} after {waited}");
+        assert!(
+            matches!(admitted, AdmissionDecision::OverQuota(_)) && waited < 290.0,
+            "{admitted:?} after {waited}"
+        );
     });
 }
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -108,7 +108,7 @@
 
     /// `Link::ready`.
     pub fn ready(&self, now: u64) -> bool {
-        self.up && self.copy.catalog().version() > 0 && self.lease.holds(now as f64)
+        self.up && self.copy.catalog().version() > 0 && self.lease.is_valid(now as f64)
     }
 
     /// Version that it goes by.
@@ -127,7 +127,7 @@
         let late: Vec<u64> =
             self.watching.iter().filter(|one| one.open_until() <= now).map(|one| one.call.id).collect();
         late.into_iter().for_each(|id| self.ended(now, id, Ended::Failed));
-        for step in self.watcher.poll(now as f64, self.lease.age(now as f64)) {
+        for step in self.watcher.poll(now as f64, self.lease.age_ms(now as f64)) {
             match step {
                 Step::Ask(call) => self.ask(now, call, out),
                 Step::HangUp(call) => {
@@ -210,7 +210,7 @@
             }
             Err(_) => return Ended::Failed,
         };
-        self.lease.answered(sent as f64, age);
+        self.lease.renew(sent as f64, age);
         let catalog = self.copy.catalog();
         if applied.new_leader {
             self.allowance.leader_changed(now, self.copy.term());
@@ -233,7 +233,7 @@
         if !ready && self.ready(now) {
             self.watcher.recall();
         }
-        let at = now - self.lease.age(now as f64).min(now as f64) as u64;
+        let at = now - self.lease.age_ms(now as f64).min(now as f64) as u64;
         out.facts.push(Fact::Knows { life: self.life, version: catalog.version(), at });
         Ended::Answered
     }
@@ -330,7 +330,7 @@
     /// Sends to one of the servers that it may send to, in turn.
     fn send(&mut self, now: u64, out: &mut Out) {
         let catalog = self.copy.catalog();
-        let known_ms = self.lease.age(now as f64) as u64;
+        let known_ms = self.lease.age_ms(now as f64) as u64;
         let name = format!("g{}", self.node);
         let open: Vec<_> = catalog
             .servers
