--- a/crates/ctl/tests/layout.rs
+++ b/crates/ctl/tests/layout.rs
@@ -58,7 +58,7 @@
     "ctl/src/storm_demo/schedule.rs",
     "edge/src/exchange_state.rs",
     "edge/src/lease.rs",
-    "edge/src/seek.rs",
+    "edge/src/leader_lookup.rs",
     "edge/src/watch.rs",
     "net/src/call_state.rs",
 ];
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/core_client.rs
@@ -2,15 +2,15 @@
 
 mod claims;
 
-use crate::alarm::Alarm;
 use crate::ebb::Ebb;
 use crate::exchange::{Admission, Admitted};
 use crate::hedge::HedgeDelay;
 use crate::lease::Lease;
-use crate::proxy::{Backend, Proxy};
+use crate::proxy::{BackendConfig, Proxy};
 use crate::table::{Swap, Table};
 use crate::upstream::Place;
-use crate::watch::{Call, Ended, Step, Watcher, CONNECT_MS, GIVE_UP_MS};
+use crate::wake_timer::WakeTimer;
+use crate::watch::{Call, CallAction, CallOutcome, Watcher, CONNECT_TIMEOUT_MS, GIVE_UP_MS};
 use bytes::Bytes;
 use nickeljunction_messages::{
     path, GatewayInfo, LeaderRedirect, PaceSharesCall, ServerInfo, UnitsAnswer, WatchAnswer,
@@ -44,40 +44,40 @@
 const OUT_OF_TOUCH_MS: f64 = 3_000.0;
 
 /// What this gateway is, for the core.
-pub struct Own {
+pub struct GatewayIdentity {
     /// Where it stands.
     pub place: Place,
     /// Where clients reach it.
-    pub front: String,
+    pub client_address: String,
     /// Inner port of core machines.
     pub inner_port: u16,
     /// Drawn at this process's start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Figures of the rules.
     pub bounds: Bounds,
     /// Region of each zone.
     pub zones: BTreeMap<String, String>,
     /// It serves the directory, too.
-    pub directory: bool,
+    pub serves_directory: bool,
 }
 
 /// What a gateway knows of the core, for operators.
-pub struct Seen {
+pub struct CoreStatus {
     /// Version of the configuration in force; 0: none yet.
-    pub version: u64,
+    pub config_version: u64,
     /// Term of the leader that told it.
     pub term: u64,
     /// Who leads, where one answered last.
     pub leader: Option<String>,
     /// How old the knowledge is, ms; infinite before the first answer.
-    pub age_ms: f64,
+    pub knowledge_age_ms: f64,
     /// Units of tenants.
     pub units: Vec<Holding>,
 }
 
 /// See the module.
-pub struct Link {
-    own: Own,
+pub struct CoreClient {
+    own: GatewayIdentity,
     wheel: Wheel,
     caller: Rc<Caller>,
     /// For watch calls, which may take their time.
@@ -102,29 +102,29 @@
     /// Units came, or won't.
     units: Notify,
     /// When the next counted add is due.
-    add_due: Alarm,
+    add_due: WakeTimer,
     dice: RefCell<fastrand::Rng>,
 }
 
-impl Link {
+impl CoreClient {
     /// A gateway that knows only the seeds' hosts.
     pub fn new(
-        own: Own,
+        own: GatewayIdentity,
         wheel: Wheel,
         caller: Rc<Caller>,
         table: Rc<Swap<Table>>,
         proxy: Rc<Proxy>,
         seeds: Vec<String>,
         seed: u64,
-    ) -> Rc<Link> {
+    ) -> Rc<CoreClient> {
         let window = (own.bounds.quota_window_s * 1_000.0) as u64;
         let tuning = nickeljunction_quota::Tuning::new(window);
-        let allowance = Allowance::new(wheel.now() as u64, own.place.name.clone(), own.life, tuning);
+        let allowance = Allowance::new(wheel.now() as u64, own.place.name.clone(), own.incarnation, tuning);
         let lease = Lease::new(own.bounds.revocation_strict, own.bounds.revoke_timeout_s * 1_000.0);
         let watcher = RefCell::new(Watcher::new(seeds, 0));
-        let patient = Caller::within(wheel.clone(), CONNECT_MS);
+        let patient = Caller::within(wheel.clone(), CONNECT_TIMEOUT_MS);
         let ebb = Rc::new(Ebb::new(wheel.clone()));
-        Rc::new(Link {
+        Rc::new(CoreClient {
             own,
             wheel,
             caller,
@@ -143,21 +143,21 @@
             recall: Notify::new(),
             behind: Notify::new(),
             units: Notify::new(),
-            add_due: Alarm::default(),
+            add_due: WakeTimer::default(),
             dice: RefCell::new(fastrand::Rng::with_seed(seed)),
         })
     }
 
     /// It may take clients: a configuration is known that was current when this process asked.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         !self.leaving.get()
             && self.copy.borrow().catalog().version() > 0
             && self.lease.borrow().holds(self.wheel.now())
     }
 
     /// It can't serve tenants' requests, or soon won't: the core has not been heard of for long.
-    pub fn out_of_touch(&self) -> bool {
-        !self.ready() || self.lease.borrow().age(self.wheel.now()) > OUT_OF_TOUCH_MS
+    pub fn is_out_of_touch(&self) -> bool {
+        !self.is_ready() || self.lease.borrow().age(self.wheel.now()) > OUT_OF_TOUCH_MS
     }
 
     /// This machine's name.
@@ -166,7 +166,7 @@
     }
 
     /// The order to leave: the core is told at once.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.leaving.set(true);
         self.ebb.leave();
         self.recall.notify_one();
@@ -178,16 +178,16 @@
     }
 
     /// Who asks for shares of paces.
-    pub(crate) fn ebb_call(&self) -> PaceSharesCall {
+    pub(crate) fn pace_shares_call(&self) -> PaceSharesCall {
         PaceSharesCall {
             name: self.own.place.name.clone(),
-            incarnation: self.own.life,
+            incarnation: self.own.incarnation,
             ..PaceSharesCall::default()
         }
     }
 
     /// A call to the leader, where one is known; its answer, where it leads.
-    pub(crate) async fn ask_leader<C: Serialize, A: DeserializeOwned>(
+    pub(crate) async fn call_leader<C: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         call: &C,
@@ -207,7 +207,7 @@
     }
 
     /// All gateways, as far as is known here.
-    pub fn roster(&self) -> Rc<Vec<GatewayInfo>> {
+    pub fn gateways(&self) -> Rc<Vec<GatewayInfo>> {
         self.copy.borrow().catalog().roster.clone()
     }
 
@@ -222,21 +222,21 @@
     }
 
     /// What is known here of the core and held of its units, for operators.
-    pub fn seen(&self) -> Seen {
+    pub fn status(&self) -> CoreStatus {
         let now = self.wheel.now();
         let copy = self.copy.borrow();
-        Seen {
-            version: copy.catalog().version(),
+        CoreStatus {
+            config_version: copy.catalog().version(),
             term: copy.term(),
             leader: self.watcher.borrow().leader().map(str::to_string),
-            age_ms: self.lease.borrow().age(now),
+            knowledge_age_ms: self.lease.borrow().age(now),
             units: self.allowance.borrow_mut().holdings(now as u64, MOST_LABELLED),
         }
     }
 
     /// Other seeds' hosts.
-    pub fn seeds(&self, hosts: Vec<String>) {
-        self.watcher.borrow_mut().seeds(hosts);
+    pub fn set_seeds(&self, hosts: Vec<String>) {
+        self.watcher.borrow_mut().set_seeds(hosts);
     }
 
     fn address(&self, host: &str) -> Option<SocketAddr> {
@@ -246,7 +246,7 @@
     // ---- What is new ----
 
     /// Watches the leader for as long as it is polled.
-    pub async fn watch(self: Rc<Self>) {
+    pub async fn run_watch(self: Rc<Self>) {
         let mut asking = JoinSet::new();
         let mut under_way: BTreeMap<u64, AbortHandle> = BTreeMap::new();
         loop {
@@ -255,16 +255,16 @@
             let steps = self.watcher.borrow_mut().poll(now, known_ms);
             for step in steps {
                 match step {
-                    Step::Ask(call) => {
+                    CallAction::Start(call) => {
                         let id = call.id;
                         under_way.insert(id, asking.spawn_local(self.clone().ask(call)));
                     }
-                    Step::HangUp(call) => {
+                    CallAction::Cancel(call) => {
                         under_way.remove(&call.id).into_iter().for_each(|asked| asked.abort());
                     }
                 }
             }
-            if self.watcher.borrow().in_doubt(now) {
+            if self.watcher.borrow().is_leader_overdue(now) {
                 self.permits_age();
             }
             let wake = self.watcher.borrow().next_wake();
@@ -275,9 +275,9 @@
                     let Ok((id, how)) = ended else { continue };
                     under_way.remove(&id);
                     let luck = self.dice.borrow_mut().f64();
-                    self.watcher.borrow_mut().ended(self.wheel.now(), id, how, luck);
+                    self.watcher.borrow_mut().call_ended(self.wheel.now(), id, how, luck);
                 }
-                () = self.recall.notified() => self.watcher.borrow_mut().recall(),
+                () = self.recall.notified() => self.watcher.borrow_mut().query_leader_now(),
                 () = self.behind.notified() => {}
                 () = self.wheel.sleep_until(wake) => {}
             }
@@ -285,23 +285,23 @@
     }
 
     /// Asks a host for what is new.
-    async fn ask(self: Rc<Self>, call: Call) -> (u64, Ended) {
-        (call.id, self.asked(&call).await.unwrap_or(Ended::Failed))
+    async fn ask(self: Rc<Self>, call: Call) -> (u64, CallOutcome) {
+        (call.id, self.asked(&call).await.unwrap_or(CallOutcome::Failed))
     }
 
-    async fn asked(&self, call: &Call) -> Option<Ended> {
+    async fn asked(&self, call: &Call) -> Option<CallOutcome> {
         let to = self.address(&call.host)?;
         let place = &self.own.place;
-        let (front, zone) = (self.own.front.clone(), place.zone.clone());
-        let line = GatewayInfo { name: place.name.clone(), front, zone, ready: self.ready() };
+        let (front, zone) = (self.own.client_address.clone(), place.zone.clone());
+        let line = GatewayInfo { name: place.name.clone(), front, zone, ready: self.is_ready() };
         let mut ask = self.copy.borrow().watch_call(
             nickeljunction_messages::Caller::Gateway,
             &place.name,
-            self.own.life,
+            self.own.incarnation,
             Some(line),
             call.hold_ms,
         );
-        ask.serves_directory = self.own.directory;
+        ask.serves_directory = self.own.serves_directory;
         let body = serde_json::to_vec(&ask).ok()?;
         let sent = self.wheel.now();
         let timeout = call.hold_ms as f64 + GIVE_UP_MS;
@@ -323,7 +323,7 @@
             },
             421 => {
                 let answer = serde_json::from_slice::<LeaderRedirect>(&reply.body).ok();
-                Some(Ended::Elsewhere(answer.and_then(|answer| answer.leader)))
+                Some(CallOutcome::NotLeader(answer.and_then(|answer| answer.leader)))
             }
             status => {
                 log::warn!("event=watch_refused peer={to} status={status}");
@@ -332,24 +332,24 @@
         }
     }
 
-    fn learn(&self, from: SocketAddr, sent: f64, body: &Bytes) -> Ended {
+    fn learn(&self, from: SocketAddr, sent: f64, body: &Bytes) -> CallOutcome {
         let answer = match serde_json::from_slice::<WatchAnswer>(body) {
             Ok(answer) => answer,
             Err(error) => {
                 log::warn!("event=answer_unreadable step=watch peer={from} error={:?}", error.to_string());
-                return Ended::Failed;
+                return CallOutcome::Failed;
             }
         };
-        let (age, ready) = (answer.quorum_age_ms as f64, self.ready());
+        let (age, ready) = (answer.quorum_age_ms as f64, self.is_ready());
         let applied = match self.copy.borrow_mut().apply(answer) {
             Ok(applied) => applied,
             // The next call is answered by a difference to what is held by now, or by the whole.
             Err(ApplyError::StaleSeq(..) | ApplyError::BaseMismatch(..) | ApplyError::DigestMismatch(..)) => {
-                return Ended::Overtaken
+                return CallOutcome::Superseded
             }
             Err(error) => {
                 log::warn!("event=answer_refused step=watch peer={from} error={:?}", error.to_string());
-                return Ended::Failed;
+                return CallOutcome::Failed;
             }
         };
         self.lease.borrow_mut().answered(sent, age);
@@ -358,7 +358,7 @@
         if applied.new_leader {
             log::info!("event=leader peer={from} term={}", self.copy.borrow().term());
             self.allowance.borrow_mut().leader_changed(now as u64, self.copy.borrow().term());
-            self.add_due.ring();
+            self.add_due.wake_now();
         }
         if applied.config {
             if let Some(config) = &catalog.config {
@@ -383,7 +383,7 @@
             self.allowance.borrow_mut().set_gateway_count(catalog.gateway_count);
         }
         if applied.core {
-            self.watcher.borrow_mut().known(&catalog.core_hosts);
+            self.watcher.borrow_mut().set_core_hosts(&catalog.core_hosts);
         }
         if applied.config
             || applied.evacuated
@@ -392,12 +392,12 @@
         {
             self.tell_servers();
         }
-        if !ready && self.ready() {
+        if !ready && self.is_ready() {
             log::info!("event=ready version={}", catalog.version());
             // The directory should know at once.
             self.recall.notify_one();
         }
-        Ended::Answered
+        CallOutcome::Answered
     }
 
     fn configure(&self, config: &Config) {
@@ -413,7 +413,7 @@
             );
         }
         self.table.set(table);
-        let backend = |backend: &nickeljunction_schema::Backend| Backend {
+        let backend = |backend: &nickeljunction_schema::Backend| BackendConfig {
             max_connections: backend.max_connections.unwrap_or(0),
             warmup_per_s: backend.warmup_per_s.unwrap_or(0.0),
         };
@@ -427,7 +427,7 @@
         });
         self.allowance.borrow_mut().set_limits(self.wheel.now() as u64, &limits.collect());
         self.ebb.configured(config);
-        self.add_due.ring();
+        self.add_due.wake_now();
         log::info!("event=config version={} routes={}", config.config_version, config.routes.len());
     }
 
@@ -464,7 +464,7 @@
     // ---- Counted adds ----
 
     /// Makes counted adds for as long as it is polled.
-    pub async fn count(self: Rc<Self>) {
+    pub async fn run_quota_sync(self: Rc<Self>) {
         loop {
             let call = self.allowance.borrow_mut().poll(self.wheel.now() as u64);
             let Some(call) = call else {
@@ -497,7 +497,7 @@
                 }
                 // There is a newer one, and the held call has not brought it.
                 if answer.version > copy.catalog().version() {
-                    self.watcher.borrow_mut().behind(self.wheel.now());
+                    self.watcher.borrow_mut().newer_version_seen(self.wheel.now());
                     self.behind.notify_one();
                 }
                 Some(answer)
@@ -516,13 +516,13 @@
     }
 
     /// Gives all units back before the end; what is lost on the way lapses by itself.
-    pub async fn give_back(&self) {
+    pub async fn return_units(&self) {
         let call = self.allowance.borrow_mut().return_all(self.wheel.now() as u64);
         self.add(&call).await;
     }
 }
 
-impl Admission for Link {
+impl Admission for CoreClient {
     fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
         Box::pin(async move {
             let began = self.wheel.now();
--- a/crates/edge/src/link/claims.rs
+++ b/crates/edge/src/core_client/claims.rs
@@ -1,6 +1,6 @@
 //! Claims at the leader, and questions to the gateways that hold claims.
 
-use super::Link;
+use super::CoreClient;
 use crate::claims::{Awaited, Claims};
 use crate::hedge::HedgeDelay;
 use nickeljunction_messages::{path, ClaimAnswer, ClaimCall, LeaderRedirect, RecallAnswer, RecallCall};
@@ -22,14 +22,14 @@
     Failed,
 }
 
-impl Link {
+impl CoreClient {
     /// Where to ask: the leader first, and the core's machines in turn after `failed` attempts.
     fn claims_host(&self, failed: usize) -> Option<String> {
         let watcher = self.watcher.borrow();
         if let (0, Some(leader)) = (failed, watcher.leader()) {
             return Some(leader.to_string());
         }
-        let hosts = watcher.hosts();
+        let hosts = watcher.candidate_hosts();
         let at = failed.checked_rem(hosts.len())?;
         hosts.get(at).cloned()
     }
@@ -127,7 +127,7 @@
     }
 }
 
-impl Claims for Link {
+impl Claims for CoreClient {
     fn claim<'a>(&'a self, call: &'a ClaimCall, until: f64) -> Awaited<'a, ClaimAnswer> {
         Box::pin(self.claim_until(call, until))
     }
--- a/crates/edge/src/drain.rs
+++ b/crates/edge/src/drain.rs
@@ -1,7 +1,7 @@
 //! The order of an orderly shutdown: connections are taken until none can be served any more, requests at work are waited
 //! for, what has no answer by then is told so, and only then the process may end.
 
-use crate::front::Lifecycle;
+use crate::frontend::Lifecycle;
 use crate::shutdown::Shutdown;
 use nickeljunction_net::wheel::Wheel;
 use std::future::Future;
@@ -21,13 +21,13 @@
 ) {
     let left_until = |until: f64| (until - wheel.now()).max(0.0);
     wheel.sleep_until((shutdown.began + ACCEPT_LEAST_MS).min(shutdown.work_until)).await;
-    wheel.timeout(left_until(shutdown.work_until), lifecycle.empty()).await;
+    wheel.timeout(left_until(shutdown.work_until), lifecycle.all_closed()).await;
     lifecycle.stop_accepting();
     // Between the last look and here another one may have been taken.
-    wheel.timeout(left_until(shutdown.answers_until), lifecycle.empty()).await;
-    lifecycle.end();
+    wheel.timeout(left_until(shutdown.answers_until), lifecycle.all_closed()).await;
+    lifecycle.fail_unanswered();
     let last = async {
-        tokio::join!(give_back, lifecycle.empty());
+        tokio::join!(give_back, lifecycle.all_closed());
     };
     wheel.timeout(LAST_MS, last).await;
 }
--- a/crates/edge/src/ebb.rs
+++ b/crates/edge/src/ebb.rs
@@ -1,7 +1,7 @@
 //! Holds requests of tenants whose trial lapsed, as `nickeljunction-pacing` says, and asks the leader for shares of their paces.
 //! Without such a tenant it does nothing.
 
-use crate::link::Link;
+use crate::core_client::CoreClient;
 use nickeljunction_messages::{path, PaceSharesAnswer, PaceSharesCall, TrialInfo};
 use nickeljunction_net::wheel::Wheel;
 use nickeljunction_pacing::{Arrival, Rank, StageSchedule, TenantStatus, Throttle, Verdict};
@@ -196,7 +196,7 @@
     }
 
     /// Asks the leader for shares while a tenant is slowed, for as long as it is polled.
-    pub async fn share(self: Rc<Self>, link: Rc<Link>) {
+    pub async fn share(self: Rc<Self>, link: Rc<CoreClient>) {
         loop {
             if !self.active.get() {
                 self.began.notified().await;
@@ -207,14 +207,14 @@
         }
     }
 
-    async fn ask(&self, link: &Link) {
+    async fn ask(&self, link: &CoreClient) {
         self.seq.set(self.seq.get() + 1);
         let (demand, held) = {
             let (now, throttle) = (self.wheel.now(), self.throttle.borrow());
             (throttle.demand(now), throttle.shares_in_use(now))
         };
-        let call = PaceSharesCall { demand, held, seq: self.seq.get(), ..link.ebb_call() };
-        let Some(answer) = link.ask_leader::<_, PaceSharesAnswer>(path::PACE_SHARES, &call, ANSWER_MS).await
+        let call = PaceSharesCall { demand, held, seq: self.seq.get(), ..link.pace_shares_call() };
+        let Some(answer) = link.call_leader::<_, PaceSharesAnswer>(path::PACE_SHARES, &call, ANSWER_MS).await
         else {
             return;
         };
--- a/crates/edge/src/front.rs
+++ b/crates/edge/src/frontend.rs
@@ -1,13 +1,13 @@
 //! The clients' side of a gateway: takes connections, reads requests, admits them, hands them on and answers them.
 
+mod connection;
 mod keyed;
 mod lifecycle;
-mod terminal;
 
 use crate::beyond::Beyond;
 use crate::ebb::Slow;
 use crate::exchange::{Admission, Admitted, Body, Dispatch, Exchange};
-use crate::reply::{Own, Reply};
+use crate::reply::{LocalReply, Reply};
 use crate::table::{self, Route, RouteMatch, Swap, Table, Tenant};
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
@@ -23,9 +23,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 
-pub use keyed::Keyed;
+use connection::ClientConnection;
+pub use keyed::KeyedOperations;
 pub use lifecycle::Lifecycle;
-use terminal::Terminal;
 
 /// How long bytes sent to a client may stay without an acknowledgement before the kernel gives the connection up.
 const UNHEARD: Duration = Duration::from_secs(10);
@@ -45,7 +45,7 @@
 
 /// What a front has done since its start, for logs.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct FrontendCounts {
     /// Connections taken.
     pub connections: Cell<u64>,
     /// Requests whose heads were read.
@@ -65,36 +65,36 @@
     /// Of these, those that the core was out of touch for.
     pub stale: Cell<u64>,
     /// Of these, those that came too late before the gateway's end.
-    pub too_late: Cell<u64>,
+    pub refused_at_shutdown: Cell<u64>,
     /// Told at the gateway's end that no answer had come (504, counted as late, too).
     pub cut_by_end: Cell<u64>,
     /// Failed at a server (502).
     pub failed: Cell<u64>,
     /// Keys whose first request is still at work (409).
-    pub at_work: Cell<u64>,
+    pub in_progress: Cell<u64>,
     /// Not answered in time (504).
-    pub late: Cell<u64>,
+    pub timed_out: Cell<u64>,
     /// Malformed, too large or too slow (other 4xx).
-    pub improper: Cell<u64>,
+    pub malformed: Cell<u64>,
     /// Clients that went before their answer.
-    pub gone: Cell<u64>,
+    pub client_gone: Cell<u64>,
 }
 
 fn count(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
 
-impl Counts {
-    fn own(&self, status: u16) {
+impl FrontendCounts {
+    fn count_local_reply(&self, status: u16) {
         count(match status {
             401 => &self.no_key,
             404 => &self.no_route,
-            409 => &self.at_work,
+            409 => &self.in_progress,
             429 => &self.over_quota,
             502 => &self.failed,
             503 => &self.refused,
-            504 => &self.late,
-            _ => &self.improper,
+            504 => &self.timed_out,
+            _ => &self.malformed,
         });
     }
 
@@ -110,15 +110,15 @@
             ("stale", "503", stale),
             ("refused", "503", self.refused.get().saturating_sub(stale)),
             ("failed", "502", self.failed.get()),
-            ("at_work", "409", self.at_work.get()),
-            ("late", "504", self.late.get()),
-            ("improper", "4xx", self.improper.get()),
-            ("gone", "", self.gone.get()),
+            ("at_work", "409", self.in_progress.get()),
+            ("late", "504", self.timed_out.get()),
+            ("improper", "4xx", self.malformed.get()),
+            ("gone", "", self.client_gone.get()),
         ]
     }
 
     /// The counts as pairs for the log.
-    pub fn note(&self) -> String {
+    pub fn log_line(&self) -> String {
         let figures = [
             ("connections", &self.connections),
             ("requests", &self.requests),
@@ -128,13 +128,13 @@
             ("no_key", &self.no_key),
             ("over_quota", &self.over_quota),
             ("refused", &self.refused),
-            ("too_late", &self.too_late),
+            ("too_late", &self.refused_at_shutdown),
             ("cut_by_end", &self.cut_by_end),
             ("failed", &self.failed),
-            ("at_work", &self.at_work),
-            ("late", &self.late),
-            ("improper", &self.improper),
-            ("gone", &self.gone),
+            ("at_work", &self.in_progress),
+            ("late", &self.timed_out),
+            ("improper", &self.malformed),
+            ("gone", &self.client_gone),
         ];
         figures.map(|(name, cell)| format!("{name}={}", cell.get())).join(" ")
     }
@@ -162,7 +162,7 @@
 }
 
 /// The clients' side.
-pub struct Front {
+pub struct Frontend {
     wheel: Wheel,
     table: Rc<Swap<Table>>,
     admission: Rc<dyn Admission>,
@@ -170,14 +170,14 @@
     lifecycle: Rc<Lifecycle>,
     budget: Rc<Budget>,
     /// Claims keyed operations; without it keyed routes are served as non-repeatable ones.
-    keyed: RefCell<Option<Rc<Keyed>>>,
-    counts: Counts,
+    keyed: RefCell<Option<Rc<KeyedOperations>>>,
+    counts: FrontendCounts,
     beyond: Beyond,
     lots: RefCell<fastrand::Rng>,
     scratch: RefCell<Box<[u8]>>,
 }
 
-impl Front {
+impl Frontend {
     /// A front; `seed` draws services by weight.
     pub fn new(
         wheel: Wheel,
@@ -187,12 +187,12 @@
         lifecycle: Rc<Lifecycle>,
         budget: Rc<Budget>,
         seed: u64,
-    ) -> Rc<Front> {
+    ) -> Rc<Frontend> {
         let lots = RefCell::new(fastrand::Rng::with_seed(seed));
         let scratch = RefCell::new(vec![0; SCRATCH].into_boxed_slice());
-        let (counts, beyond) = (Counts::default(), Beyond::default());
+        let (counts, beyond) = (FrontendCounts::default(), Beyond::default());
         let keyed = RefCell::default();
-        Rc::new(Front {
+        Rc::new(Frontend {
             wheel,
             table,
             admission,
@@ -208,22 +208,22 @@
     }
 
     /// What claims keyed operations, where there is such.
-    pub fn keyed(&self) -> Option<Rc<Keyed>> {
+    pub fn keyed_operations(&self) -> Option<Rc<KeyedOperations>> {
         self.keyed.borrow().clone()
     }
 
     /// Keyed operations are claimed by this from now on.
-    pub fn claim_by(&self, keyed: Rc<Keyed>) {
+    pub fn set_keyed_operations(&self, keyed: Rc<KeyedOperations>) {
         *self.keyed.borrow_mut() = Some(keyed);
     }
 
     /// What has been done so far.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &FrontendCounts {
         &self.counts
     }
 
     /// Tenants refused for their quota lately.
-    pub fn beyond(&self) -> &Beyond {
+    pub fn over_quota(&self) -> &Beyond {
         &self.beyond
     }
 
@@ -236,7 +236,7 @@
                 () = self.lifecycle.stopped_accepting() => continue,
                 // A server's connection finds no place.
                 () = self.budget.squeeze.notified() => {
-                    self.lifecycle.evict();
+                    self.lifecycle.evict_longest_idle();
                     continue;
                 }
                 taken = self.take(&listener) => taken,
@@ -249,9 +249,9 @@
             let _ = stream.set_nodelay(true);
             let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNHEARD));
             // Known from here on, not only from its task's first turn: a shutdown waits for it.
-            let terminal = self.clone().terminal(stream);
+            let connection = self.clone().client_connection(stream);
             tokio::task::spawn_local(async move {
-                terminal.run().await;
+                connection.run().await;
                 drop(slot);
             });
         }
@@ -262,8 +262,8 @@
             match self.budget.terminal() {
                 Some(slot) => break slot,
                 None => {
-                    self.lifecycle.evict();
-                    let _ = self.wheel.timeout(LISTENER_PAUSE_MS, self.lifecycle.one_closed()).await;
+                    self.lifecycle.evict_longest_idle();
+                    let _ = self.wheel.timeout(LISTENER_PAUSE_MS, self.lifecycle.connection_closed()).await;
                 }
             }
         };
@@ -272,13 +272,13 @@
     }
 
     /// Serves one client's connection to its end.
-    pub async fn attend<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, io: S) {
-        self.terminal(io).run().await;
+    pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, io: S) {
+        self.client_connection(io).run().await;
     }
 
-    fn terminal<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, io: S) -> Terminal<S> {
+    fn client_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, io: S) -> ClientConnection<S> {
         count(&self.counts.connections);
-        Terminal::new(self, io)
+        ClientConnection::new(self, io)
     }
 
     /// A request of repeatable kind, as far as known: it may be handed on while others before it are unanswered.
@@ -291,27 +291,27 @@
     }
 
     /// Finds route, tenant and homes for a head read at `arrived`, ms of the program's clock.
-    fn sort(&self, head: &RequestHead, arrived: f64) -> Result<Ask, Own> {
-        let bad = |error: &'static str| move |_: HttpError| Own::new(400, error);
+    fn sort(&self, head: &RequestHead, arrived: f64) -> Result<Ask, LocalReply> {
+        let bad = |error: &'static str| move |_: HttpError| LocalReply::new(400, error);
         let attempt_id = head.headers.single("x-attempt-id").map_err(bad("two X-Attempt-Id"))?;
         let attempt_id = attempt_id.filter(|id| !id.is_empty());
-        let attempt_id = attempt_id.ok_or(Own::new(400, "no X-Attempt-Id"))?.to_string();
+        let attempt_id = attempt_id.ok_or(LocalReply::new(400, "no X-Attempt-Id"))?.to_string();
         let left = head.headers.single("x-deadline-remaining").map_err(bad("two X-Deadline-Remaining"))?;
         let left = match left.map(str::parse::<f64>) {
             None => f64::INFINITY,
             Some(Ok(ms)) if ms.is_finite() => ms,
-            Some(_) => return Err(Own::new(400, "X-Deadline-Remaining is no number")),
+            Some(_) => return Err(LocalReply::new(400, "X-Deadline-Remaining is no number")),
         };
         let table = self.table.get();
         let route = match table.find(head.host(), head.path()) {
             RouteMatch::Route(route) => route,
             RouteMatch::NotLoaded => {
-                return Err(Own::refusal(503, "configuration not here yet", CONFIGURATION_PAUSE_MS))
+                return Err(LocalReply::refusal(503, "configuration not here yet", CONFIGURATION_PAUSE_MS))
             }
             // A machine out of touch may lack the newest routes.
             RouteMatch::NotFound => {
                 let stale = self.stale("out of touch with the core, route not known here");
-                return Err(stale.unwrap_or(Own::new(404, "no such route")));
+                return Err(stale.unwrap_or(LocalReply::new(404, "no such route")));
             }
         };
         let tenant = match table.requires_key(&route) {
@@ -319,66 +319,71 @@
             false => None,
         };
         let homes = table.homes(&route, tenant.as_deref());
-        let homes =
-            homes.ok_or(Own::refusal(503, "route and tenant share no home region", HOMELESS_PAUSE_MS))?;
+        let homes = homes.ok_or(LocalReply::refusal(
+            503,
+            "route and tenant share no home region",
+            HOMELESS_PAUSE_MS,
+        ))?;
         let patience_ms = left.min(route.timeout_ms);
         if patience_ms <= 0.0 {
-            return Err(Own::refusal(503, "no time left on arrival", 0.0));
+            return Err(LocalReply::refusal(503, "no time left on arrival", 0.0));
         }
         self.in_time(Ask { attempt_id, route, tenant, homes, arrived, deadline_ms: left, patience_ms })
     }
 
     /// Once the order to leave has come: the request with no more time than is left, or its refusal where it could not be
     /// expected to end before the process does.
-    fn in_time(&self, ask: Ask) -> Result<Ask, Own> {
+    fn in_time(&self, ask: Ask) -> Result<Ask, LocalReply> {
         let Some(shutdown) = self.lifecycle.shutdown() else { return Ok(ask) };
         let (arrived, deadline) = (ask.arrived, ask.arrived + ask.patience_ms);
         if !shutdown.admits_request(self.wheel.now(), arrived, ask.route.aim_ms, deadline) {
-            count(&self.counts.too_late);
-            return Err(Own::refusal(503, "this gateway is about to end", ELSEWHERE_PAUSE_MS));
+            count(&self.counts.refused_at_shutdown);
+            return Err(LocalReply::refusal(503, "this gateway is about to end", ELSEWHERE_PAUSE_MS));
         }
         let patience_ms = shutdown.bound_patience(ask.arrived, ask.patience_ms);
         Ok(Ask { patience_ms, ..ask })
     }
 
     /// The holder of the key that a request carries.
-    fn holder(&self, table: &Table, head: &RequestHead) -> Result<Rc<Tenant>, Own> {
+    fn holder(&self, table: &Table, head: &RequestHead) -> Result<Rc<Tenant>, LocalReply> {
         // First of all: while the core is out of reach, a key that is here may have been taken away, and one that is not
         // may have been given out.
         if let Some(own) = self.stale(KEYS_STALE) {
             return Err(own);
         }
-        let line =
-            head.headers.single("authorization").map_err(|_| Own::new(401, "two Authorization lines"))?;
+        let line = head
+            .headers
+            .single("authorization")
+            .map_err(|_| LocalReply::new(401, "two Authorization lines"))?;
         let key = line.and_then(|line| line.split_once(' '));
         let key = key.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer")).map(|(_, key)| key.trim());
-        let key = key.ok_or(Own::new(401, "no key"))?;
-        table.tenant_by_key(key).cloned().ok_or(Own::new(401, "unknown key"))
+        let key = key.ok_or(LocalReply::new(401, "no key"))?;
+        table.tenant_by_key(key).cloned().ok_or(LocalReply::new(401, "unknown key"))
     }
 
-    fn stale(&self, error: &'static str) -> Option<Own> {
+    fn stale(&self, error: &'static str) -> Option<LocalReply> {
         let pause = self.admission.stale()?;
         count(&self.counts.stale);
-        Some(Own::refusal(503, error, pause))
+        Some(LocalReply::refusal(503, error, pause))
     }
 
     /// Admits a request, hands it on and waits for its answer. Dropping this gives it up.
     async fn pass_on(self: Rc<Self>, head: RequestHead, ask: Ask, body: Body) -> Reply {
         let operation = match self.operation(&head, &ask, &body) {
             Ok(operation) => operation,
-            Err(own) => return Reply::Own(own),
+            Err(own) => return Reply::Local(own),
         };
         if let Err(own) = self.slow(&ask).await {
-            return Reply::Own(own);
+            return Reply::Local(own);
         }
         // The order to leave may have come since its head was read.
         let ask = match self.in_time(ask) {
             Ok(ask) => ask,
-            Err(own) => return Reply::Own(own),
+            Err(own) => return Reply::Local(own),
         };
         let unit_until = match self.admit(&ask).await {
             Ok(until) => until,
-            Err(own) => return Reply::Own(own),
+            Err(own) => return Reply::Local(own),
         };
         let admitted = AdmittedRequest { head, ask, body, unit_until };
         match operation {
@@ -393,10 +398,10 @@
         let Ask { attempt_id, route, tenant, homes, arrived, patience_ms, .. } = ask;
         let sent = self.wheel.now();
         if sent >= arrived + patience_ms {
-            return Reply::Own(Own::refusal(503, "no time left before a server was asked", 0.0));
+            return Reply::Local(LocalReply::refusal(503, "no time left before a server was asked", 0.0));
         }
         let Some(backend) = route.backend(self.lots.borrow_mut().f64()).cloned() else {
-            return Reply::Own(Own::refusal(503, "route without a service", HOMELESS_PAUSE_MS));
+            return Reply::Local(LocalReply::refusal(503, "route without a service", HOMELESS_PAUSE_MS));
         };
         let (reply, answer) = oneshot::channel();
         self.dispatch.dispatch(Exchange {
@@ -423,17 +428,19 @@
         }
         match answer {
             Ok(Answer::Served(served)) => Reply::Served(served),
-            Ok(Answer::ShortOnCapacityReply(pause)) => Reply::Own(Own::refusal(503, "no server free", pause)),
+            Ok(Answer::ShortOnCapacityReply(pause)) => {
+                Reply::Local(LocalReply::refusal(503, "no server free", pause))
+            }
             // Also where the servers' side has let go of it: then it may have run.
             Ok(Answer::Failed) | Err(_) if self.wheel.now() >= arrived + patience_ms => {
-                Reply::Own(Own::new(504, "no answer from a server in time"))
+                Reply::Local(LocalReply::new(504, "no answer from a server in time"))
             }
-            Ok(Answer::Failed) | Err(_) => Reply::Own(Own::new(502, "no good answer from a server")),
+            Ok(Answer::Failed) | Err(_) => Reply::Local(LocalReply::new(502, "no good answer from a server")),
         }
     }
 
     /// Holds a request of a tenant whose trial has lapsed, or tells it when to come back: no server was asked then.
-    async fn slow(&self, ask: &Ask) -> Result<(), Own> {
+    async fn slow(&self, ask: &Ask) -> Result<(), LocalReply> {
         let (Some(tenant), Some(ebb)) = (&ask.tenant, self.admission.ebb()) else { return Ok(()) };
         let Ask { route, deadline_ms, patience_ms, arrived, .. } = ask;
         let slow = Slow {
@@ -446,11 +453,11 @@
         };
         ebb.slow(slow)
             .await
-            .map_err(|pause| Own::refusal(429, "the tenant's trial has lapsed, come back", pause))
+            .map_err(|pause| LocalReply::refusal(429, "the tenant's trial has lapsed, come back", pause))
     }
 
     /// Until when the request's first byte may be sent, ms of the program's clock.
-    async fn admit(&self, ask: &Ask) -> Result<f64, Own> {
+    async fn admit(&self, ask: &Ask) -> Result<f64, LocalReply> {
         let Some(tenant) = &ask.tenant else { return Ok(f64::INFINITY) };
         let mut admitted = self.admission.admit(&tenant.name).await;
         // A unit that this task came too late to use: one more is asked for.
@@ -459,15 +466,17 @@
         }
         match admitted {
             Admitted::Until(until) if until < self.wheel.now() => {
-                Err(Own::refusal(503, "unit of quota came too late", 0.0))
+                Err(LocalReply::refusal(503, "unit of quota came too late", 0.0))
             }
             // The wait may have been long enough for the lease of knowledge to end.
             Admitted::Until(until) => self.stale(KEYS_STALE).map_or(Ok(until), Err),
             Admitted::Beyond(pause) => {
                 self.beyond.add(&tenant.name);
-                Err(Own::refusal(429, "beyond the quota", pause))
+                Err(LocalReply::refusal(429, "beyond the quota", pause))
+            }
+            Admitted::Unknown(pause) => {
+                Err(LocalReply::refusal(503, "quota not known, core out of reach", pause))
             }
-            Admitted::Unknown(pause) => Err(Own::refusal(503, "quota not known, core out of reach", pause)),
         }
     }
 }
--- a/crates/edge/src/front/terminal.rs
+++ b/crates/edge/src/frontend/connection.rs
@@ -1,9 +1,9 @@
 //! One client's connection: requests in, answers out in the same order, some of them at work at once.
 
 use super::lifecycle::Entry;
-use super::{count, Ask, Front};
+use super::{count, Ask, Frontend};
 use crate::exchange::{Body, Part, Stream, MOST_WHOLE};
-use crate::reply::{put_own, put_served, Follows, Hop, Own, Reply};
+use crate::reply::{put_local_reply, put_served_reply, LocalReply, Reply, ReplyBody, ReplyContext};
 use bytes::{Buf, Bytes, BytesMut};
 use nickeljunction_http::stream::{
     put_chunk_size, put_last_chunk, read_request_head, BodyReader, RequestHead,
@@ -75,8 +75,8 @@
     work: Option<Pin<Box<dyn Future<Output = Reply>>>>,
     reply: Option<Reply>,
     attempt_id: Option<String>,
-    to_head: bool,
-    minor: u8,
+    is_head: bool,
+    http_minor: u8,
 }
 
 enum Event {
@@ -100,8 +100,8 @@
     Broken,
 }
 
-pub(super) struct Terminal<S> {
-    front: Rc<Front>,
+pub(super) struct ClientConnection<S> {
+    front: Rc<Frontend>,
     io: S,
     entry: Entry,
     from: BytesMut,
@@ -124,12 +124,12 @@
     alarm: Option<(f64, Sleep)>,
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Terminal<S> {
-    pub(super) fn new(front: Rc<Front>, io: S) -> Terminal<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
+    pub(super) fn new(front: Rc<Frontend>, io: S) -> ClientConnection<S> {
         let now = front.wheel.now();
         let entry = Entry::new(front.lifecycle.clone(), now);
         let idle_ms = front.table.get().bounds.idle_ms;
-        Terminal {
+        ClientConnection {
             front,
             io,
             entry,
@@ -178,7 +178,7 @@
                 Event::Late => self.late(),
                 Event::Gone => {
                     if !self.queue.is_empty() {
-                        count(&self.front.counts.gone);
+                        count(&self.front.counts.client_gone);
                     }
                     return;
                 }
@@ -219,7 +219,7 @@
         if self.entry.connection.is_evicted() && self.idle() {
             return Poll::Ready(Event::Gone);
         }
-        let leaving = self.front.lifecycle.leaving();
+        let leaving = self.front.lifecycle.is_shutting_down();
         if std::mem::replace(&mut self.left, leaving) != leaving {
             return Poll::Ready(Event::Stirred);
         }
@@ -228,15 +228,15 @@
 
     /// Moves the requests at work on; at the program's end those that have no answer yet are told so.
     fn poll_work(&mut self, context: &mut Context<'_>) {
-        let ended = self.front.lifecycle.is_ended();
+        let ended = self.front.lifecycle.is_failing_unanswered();
         for waiting in &mut self.queue {
             let Some(work) = &mut waiting.work else { continue };
             if let Poll::Ready(reply) = work.as_mut().poll(context) {
                 (waiting.work, waiting.reply) = (None, Some(reply));
             } else if ended {
                 count(&self.front.counts.cut_by_end);
-                let late = Own::new(504, "the gateway ended before a server had answered");
-                (waiting.work, waiting.reply) = (None, Some(Reply::Own(late)));
+                let late = LocalReply::new(504, "the gateway ended before a server had answered");
+                (waiting.work, waiting.reply) = (None, Some(Reply::Local(late)));
             }
         }
     }
@@ -316,7 +316,7 @@
     fn late(&mut self) {
         match &mut self.reading {
             Reading::Head | Reading::Whole(_) => {
-                self.own(Own::new(408, "request not whole in time"), None, false, 1);
+                self.own(LocalReply::new(408, "request not whole in time"), None, false, 1);
                 self.reading = Reading::Over;
             }
             // It has been passed on: its answer stands, and tells whether it ran.
@@ -354,7 +354,7 @@
     fn read_head(&mut self) -> (Reading, bool) {
         let ahead = self.queue.len();
         // Once it is leaving, the last answer due closes: what was sent behind it stays unread.
-        if ahead >= MOST_AHEAD || (ahead > 0 && self.front.lifecycle.leaving()) {
+        if ahead >= MOST_AHEAD || (ahead > 0 && self.front.lifecycle.is_shutting_down()) {
             self.begun = false;
             return (Reading::Head, false);
         }
@@ -416,7 +416,7 @@
     }
 
     /// Answers a request that goes no further, and finds out whether the connection can be kept.
-    fn turn_away(&mut self, head: &RequestHead, own: Own, reader: Option<BodyReader>) -> Reading {
+    fn turn_away(&mut self, head: &RequestHead, own: LocalReply, reader: Option<BodyReader>) -> Reading {
         let id = head.headers.get("x-attempt-id").map(str::to_string);
         self.own(own, id, head.method == "HEAD", head.minor);
         match (reader, head.framing) {
@@ -432,19 +432,26 @@
     }
 
     /// Queues an answer of the gateway itself.
-    fn own(&mut self, own: Own, attempt_id: Option<String>, to_head: bool, minor: u8) {
-        let reply = Some(Reply::Own(own));
-        self.queue.push_back(Waiting { large_answer: false, work: None, reply, attempt_id, to_head, minor });
+    fn own(&mut self, own: LocalReply, attempt_id: Option<String>, is_head: bool, http_minor: u8) {
+        let reply = Some(Reply::Local(own));
+        self.queue.push_back(Waiting {
+            large_answer: false,
+            work: None,
+            reply,
+            attempt_id,
+            is_head,
+            http_minor,
+        });
     }
 
     /// Sets a request to work; the next state.
     fn start(&mut self, head: RequestHead, ask: Ask, body: Body) -> Reading {
         let next = after(head.keep_alive);
-        let (to_head, minor) = (head.method == "HEAD", head.minor);
+        let (is_head, http_minor) = (head.method == "HEAD", head.minor);
         let attempt_id = Some(ask.attempt_id.clone());
         let large_answer = ask.route.large_answers;
         let work = Some(Box::pin(self.front.clone().pass_on(head, ask, body)) as Pin<Box<_>>);
-        self.queue.push_back(Waiting { large_answer, work, reply: None, attempt_id, to_head, minor });
+        self.queue.push_back(Waiting { large_answer, work, reply: None, attempt_id, is_head, http_minor });
         next
     }
 
@@ -533,7 +540,7 @@
                     // No server has had it whole, and dropping the work tells the servers' side to let go.
                     if let Some(waiting) = self.queue.back_mut() {
                         waiting.work = None;
-                        waiting.reply = Some(Reply::Own(improper(&error)));
+                        waiting.reply = Some(Reply::Local(improper(&error)));
                     }
                     return (Reading::Over, true);
                 }
@@ -556,7 +563,8 @@
 
     /// Writes the first of the answers, which is there.
     async fn answer(&mut self) -> Written {
-        let Some(Waiting { reply: Some(reply), attempt_id, to_head, minor, .. }) = self.queue.pop_front()
+        let Some(Waiting { reply: Some(reply), attempt_id, is_head, http_minor, .. }) =
+            self.queue.pop_front()
         else {
             return Written::Broken;
         };
@@ -566,12 +574,12 @@
                 self.reading = upload.rest();
             }
         }
-        let leaving = self.front.lifecycle.leaving();
+        let leaving = self.front.lifecycle.is_shutting_down();
         // Those behind that are at work have been passed on: they are answered first, whatever ends the connection.
         let ends = leaving || self.entry.connection.is_evicted() || matches!(self.reading, Reading::Over);
         let close = ends && self.queue.is_empty();
         self.idle_ms = self.front.table.get().bounds.idle_ms;
-        let hop = Hop { close, minor, to_head, idle_ms: self.idle_ms };
+        let hop = ReplyContext { close, http_minor, is_head, idle_timeout_ms: self.idle_ms };
         self.writing = true;
         let written = self.put(reply, attempt_id.as_deref(), &hop).await && self.io.flush().await.is_ok();
         self.writing = false;
@@ -584,22 +592,22 @@
     }
 
     /// `false`: it did not get through whole.
-    async fn put(&mut self, reply: Reply, attempt_id: Option<&str>, hop: &Hop) -> bool {
+    async fn put(&mut self, reply: Reply, attempt_id: Option<&str>, hop: &ReplyContext) -> bool {
         let mut out = BytesMut::new();
         let follows = match reply {
-            Reply::Own(own) => Err(own),
-            Reply::Served(served) => put_served(&mut out, served, hop),
+            Reply::Local(own) => Err(own),
+            Reply::Served(served) => put_served_reply(&mut out, served, hop),
         };
         let counts = &self.front.clone().counts;
         let written = match follows {
             Err(own) => {
-                counts.own(own.status);
-                put_own(&mut out, &own, attempt_id, hop);
+                counts.count_local_reply(own.status);
+                put_local_reply(&mut out, &own, attempt_id, hop);
                 return self.write(&mut out).await;
             }
-            Ok(Follows::Nothing) => self.write(&mut out).await,
-            Ok(Follows::Whole(body)) => self.write(&mut out.chain(body)).await,
-            Ok(Follows::Streamed(stream)) => self.pump(out, stream).await,
+            Ok(ReplyBody::Empty) => self.write(&mut out).await,
+            Ok(ReplyBody::Whole(body)) => self.write(&mut out.chain(body)).await,
+            Ok(ReplyBody::Streamed(stream)) => self.pump(out, stream).await,
         };
         count(if written { &counts.served } else { &counts.broken });
         written
@@ -725,10 +733,10 @@
 }
 
 /// The answer to what is no proper request.
-fn improper(error: &HttpError) -> Own {
+fn improper(error: &HttpError) -> LocalReply {
     match error {
-        HttpError::HeadTooLarge => Own::new(431, "head too large"),
-        HttpError::BodyTooLarge => Own::new(413, "body too large"),
-        _ => Own::new(400, "malformed request"),
+        HttpError::HeadTooLarge => LocalReply::new(431, "head too large"),
+        HttpError::BodyTooLarge => LocalReply::new(413, "body too large"),
+        _ => LocalReply::new(400, "malformed request"),
     }
 }
--- a/crates/edge/src/front/keyed.rs
+++ b/crates/edge/src/frontend/keyed.rs
@@ -3,12 +3,12 @@
 //!
 //! A claimed request is served by a task of its own: a client that leaves ends neither the run nor the record of it.
 
-use super::{AdmittedRequest, Ask, Front, ELSEWHERE_PAUSE_MS, KEYS_STALE};
+use super::{AdmittedRequest, Ask, Frontend, ELSEWHERE_PAUSE_MS, KEYS_STALE};
 use crate::claiming::{Claiming, Refusal, Step};
 use crate::claims::Claims;
 use crate::exchange::Body;
 use crate::operations::{request_digest, Answer, Operations};
-use crate::reply::{Own, Reply};
+use crate::reply::{LocalReply, Reply};
 use nickeljunction_http::stream::RequestHead;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, OperationId, RecallAnswer, RecallCall};
 use nickeljunction_net::wheel::Wheel;
@@ -35,16 +35,16 @@
 const CUT_OFF_PAUSE_MS: f64 = 700.0;
 
 /// The table of this gateway's operations, and the way to claim them.
-pub struct Keyed {
+pub struct KeyedOperations {
     wheel: Wheel,
     operations: Rc<RefCell<Operations>>,
     claims: Rc<dyn Claims>,
-    counts: Counts,
+    counts: KeyedCounts,
 }
 
 /// What became of claims, beside what the table counts.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct KeyedCounts {
     /// Granted by the leader.
     pub granted: Cell<u64>,
     /// How long those took, added up, ms.
@@ -54,7 +54,7 @@
     /// Not answered by the leader in time.
     pub unanswered: Cell<u64>,
     /// Holders that did not answer.
-    pub silent: Cell<u64>,
+    pub holder_silent: Cell<u64>,
 }
 
 /// Where a client is told; closed once it has gone.
@@ -70,7 +70,7 @@
 /// A claim of this gateway until its end is recorded. Dropped before that it is released, or in doubt once a server may have
 /// been asked.
 struct Claim {
-    keyed: Rc<Keyed>,
+    keyed: Rc<KeyedOperations>,
     id: OperationId,
     number: u64,
     exposed: bool,
@@ -79,7 +79,7 @@
 impl Claim {
     /// The run's end, as the client is told.
     fn settle(mut self, reply: &Reply) {
-        let Keyed { wheel, operations, .. } = &*self.keyed;
+        let KeyedOperations { wheel, operations, .. } = &*self.keyed;
         match reply {
             Reply::Served(served) => {
                 if let Some(answer) = Answer::copy_of(served) {
@@ -87,8 +87,8 @@
                 }
             }
             // It promises that no server has run it.
-            Reply::Own(own) if matches!(own.status, 429 | 503) => self.exposed = false,
-            Reply::Own(_) => {}
+            Reply::Local(own) if matches!(own.status, 429 | 503) => self.exposed = false,
+            Reply::Local(_) => {}
         }
     }
 }
@@ -103,14 +103,18 @@
     }
 }
 
-impl Keyed {
+impl KeyedOperations {
     /// Claims by these operations' table.
-    pub fn new(wheel: Wheel, operations: Rc<RefCell<Operations>>, claims: Rc<dyn Claims>) -> Rc<Keyed> {
-        Rc::new(Keyed { wheel, operations, claims, counts: Counts::default() })
+    pub fn new(
+        wheel: Wheel,
+        operations: Rc<RefCell<Operations>>,
+        claims: Rc<dyn Claims>,
+    ) -> Rc<KeyedOperations> {
+        Rc::new(KeyedOperations { wheel, operations, claims, counts: KeyedCounts::default() })
     }
 
     /// What became of claims so far.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &KeyedCounts {
         &self.counts
     }
 
@@ -120,8 +124,8 @@
     }
 
     /// The counts as a line for the log; `None`: there was no keyed request yet.
-    pub fn note(&self) -> Option<String> {
-        let (seen, Counts { granted, granted_ms, held, unanswered, silent }) =
+    pub fn log_line(&self) -> Option<String> {
+        let (seen, KeyedCounts { granted, granted_ms, held, unanswered, holder_silent }) =
             (self.operations.borrow().counts(), &self.counts);
         let (remembered, answers, bytes) = self.operations.borrow().held();
         (seen.claims > 0).then(|| {
@@ -138,7 +142,7 @@
                 seen.in_doubt,
                 seen.repeated,
                 seen.recalls,
-                silent.get(),
+                holder_silent.get(),
                 seen.dropped,
             )
         })
@@ -151,7 +155,7 @@
             ("granted", counts.granted.get()),
             ("held", counts.held.get()),
             ("unanswered", counts.unanswered.get()),
-            ("holder_silent", counts.silent.get()),
+            ("holder_silent", counts.holder_silent.get()),
             ("released", seen.released),
             ("answered", seen.answered),
             ("in_doubt", seen.in_doubt),
@@ -243,28 +247,28 @@
         let left_ms = ask.arrived + ask.patience_ms - self.wheel.now();
         let answer = self.claims.recall(call, left_ms.min(RECALL_MS)).await;
         if answer.is_none() {
-            count(&self.counts.silent);
+            count(&self.counts.holder_silent);
         }
         answer
     }
 }
 
-impl Front {
+impl Frontend {
     /// The operation that a request is a try of; `None`: its route is not keyed, or it carries no key.
     pub(super) fn operation(
         &self,
         head: &RequestHead,
         ask: &Ask,
         body: &Body,
-    ) -> Result<Option<Operation>, Own> {
+    ) -> Result<Option<Operation>, LocalReply> {
         let keyed = self.keyed.borrow();
         let Some(keyed) = keyed.as_ref().filter(|_| ask.route.keyed) else { return Ok(None) };
         let key = head.headers.single("x-operation-key");
-        let key = key.map_err(|_| Own::new(400, "two X-Operation-Key"))?;
+        let key = key.map_err(|_| LocalReply::new(400, "two X-Operation-Key"))?;
         let Some(key) = key.filter(|key| !key.is_empty()) else { return Ok(None) };
         if keyed.claims.cut_off() {
             let error = "out of touch with the core, operations can not be claimed";
-            return Err(Own::refusal(503, error, CUT_OFF_PAUSE_MS));
+            return Err(LocalReply::refusal(503, error, CUT_OFF_PAUSE_MS));
         }
         let body = match body {
             Body::Whole(bytes) => Some(&bytes[..]),
@@ -283,13 +287,13 @@
             // A client that has gone awaits nothing.
             let _ = to.send(reply);
         });
-        let ended = |_| Reply::Own(Own::new(502, "the operation's end is not known"));
+        let ended = |_| Reply::Local(LocalReply::new(502, "the operation's end is not known"));
         reply.await.unwrap_or_else(ended)
     }
 
     async fn claim_and_send(
         &self,
-        keyed: &Rc<Keyed>,
+        keyed: &Rc<KeyedOperations>,
         operation: Operation,
         request: AdmittedRequest,
         client: &Client,
@@ -302,14 +306,14 @@
         // Much may have changed while the claim was under way.
         let ask = match self.in_time(ask).and_then(|ask| self.stale(KEYS_STALE).map_or(Ok(ask), Err)) {
             Ok(ask) => ask,
-            Err(own) => return Reply::Own(own),
+            Err(own) => return Reply::Local(own),
         };
         if client.is_closed() {
-            return Reply::Own(Own::refusal(503, "the client has gone", ELSEWHERE_PAUSE_MS));
+            return Reply::Local(LocalReply::refusal(503, "the client has gone", ELSEWHERE_PAUSE_MS));
         }
         let unit_until = match self.renew_unit(&ask, unit_until).await {
             Ok(until) => until,
-            Err(own) => return Reply::Own(own),
+            Err(own) => return Reply::Local(own),
         };
         claim.exposed = true;
         let reply = self.send(AdmittedRequest { head, ask, body, unit_until }).await;
@@ -318,9 +322,9 @@
     }
 }
 
-impl Front {
+impl Frontend {
     /// Until when the request's unit is good: a new one's where it ran out while the claim was under way.
-    async fn renew_unit(&self, ask: &Ask, unit_until: f64) -> Result<f64, Own> {
+    async fn renew_unit(&self, ask: &Ask, unit_until: f64) -> Result<f64, LocalReply> {
         match unit_until < self.wheel.now() {
             true => self.admit(ask).await,
             false => Ok(unit_until),
@@ -333,21 +337,25 @@
 }
 
 fn refused(refusal: &Refusal, ask: &Ask) -> Reply {
-    Reply::Own(match refusal {
+    Reply::Local(match refusal {
         Refusal::Answered(answer) => {
-            return answer.for_attempt(&ask.attempt_id).map_or_else(|| Reply::Own(in_doubt()), Reply::Served)
+            return answer
+                .for_attempt(&ask.attempt_id)
+                .map_or_else(|| Reply::Local(in_doubt()), Reply::Served)
         }
-        Refusal::AtWork => Own::refusal(409, "the operation is at work", AT_WORK_PAUSE_MS),
+        Refusal::AtWork => LocalReply::refusal(409, "the operation is at work", AT_WORK_PAUSE_MS),
         Refusal::InDoubt => in_doubt(),
-        Refusal::OtherRequest => Own::new(422, "the operation key was used for another request"),
-        Refusal::Full => Own::refusal(503, "too many operations are remembered", CUT_OFF_PAUSE_MS),
+        Refusal::OtherRequest => LocalReply::new(422, "the operation key was used for another request"),
+        Refusal::Full => LocalReply::refusal(503, "too many operations are remembered", CUT_OFF_PAUSE_MS),
         Refusal::Unanswered => {
-            Own::refusal(503, "the core did not grant the operation in time", CLAIM_PAUSE_MS)
+            LocalReply::refusal(503, "the core did not grant the operation in time", CLAIM_PAUSE_MS)
+        }
+        Refusal::Overtaken => {
+            LocalReply::refusal(503, "the operation is being claimed elsewhere", CLAIM_PAUSE_MS)
         }
-        Refusal::Overtaken => Own::refusal(503, "the operation is being claimed elsewhere", CLAIM_PAUSE_MS),
     })
 }
 
-fn in_doubt() -> Own {
-    Own::new(502, "the operation may have run, its answer is not known")
+fn in_doubt() -> LocalReply {
+    LocalReply::new(502, "the operation may have run, its answer is not known")
 }
--- a/crates/edge/src/front/lifecycle.rs
+++ b/crates/edge/src/frontend/lifecycle.rs
@@ -7,7 +7,7 @@
 use std::task::Waker;
 use tokio::sync::Notify;
 
-/// How long idle connections are kept after the order to leave unless [`Lifecycle::set_idle_grace`] says otherwise, ms.
+/// How long idle connections are kept after the order to leave unless [`Lifecycle::set_idle_grace_ms`] says otherwise, ms.
 const IDLE_GRACE_MS: f64 = 500.0;
 
 /// What the others and the program know of one connection.
@@ -81,13 +81,13 @@
 impl Lifecycle {
     /// How long idle connections are kept after the order to leave, ms: a request that is on its way to one is still
     /// served. 500 unless set.
-    pub fn set_idle_grace(&self, ms: f64) {
+    pub fn set_idle_grace_ms(&self, ms: f64) {
         self.idle_grace_ms.set(ms);
     }
 
     /// The order to leave: from now on the last answer of each connection closes it, and connections that stay idle are
     /// closed. New ones are still taken, for one request each, which is begun if it can end in time and refused if not.
-    pub fn leave(&self, shutdown: Shutdown) {
+    pub fn begin_shutdown(&self, shutdown: Shutdown) {
         self.shutdown.set(self.shutdown.get().or(Some(shutdown)));
         self.wake_all();
     }
@@ -98,7 +98,7 @@
     }
 
     /// The order to leave has come.
-    pub fn leaving(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.shutdown.get().is_some()
     }
 
@@ -109,13 +109,13 @@
     }
 
     /// The time for answers is over: requests that are still unanswered are told so, rather than cut off without a word.
-    pub fn end(&self) {
+    pub fn fail_unanswered(&self) {
         self.ended.set(true);
         self.wake_all();
     }
 
-    /// See [`Lifecycle::end`].
-    pub(super) fn is_ended(&self) -> bool {
+    /// See [`Lifecycle::fail_unanswered`].
+    pub(super) fn is_failing_unanswered(&self) -> bool {
         self.ended.get()
     }
 
@@ -141,24 +141,24 @@
     }
 
     /// Connections with a request that has begun to come and is not yet answered.
-    pub fn busy(&self) -> usize {
+    pub fn busy_connections(&self) -> usize {
         self.busy.get()
     }
 
     /// Ready once no connection is open.
-    pub async fn empty(&self) {
+    pub async fn all_closed(&self) {
         while self.open_connections() > 0 {
             self.all_closed.notified().await;
         }
     }
 
     /// Ready once some connection has closed.
-    pub(super) async fn one_closed(&self) {
+    pub(super) async fn connection_closed(&self) {
         self.one_closed.notified().await;
     }
 
     /// The connection that has been idle longest is to end; `false`: none is idle.
-    pub(super) fn evict(&self) -> bool {
+    pub(super) fn evict_longest_idle(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections.values().filter(|connection| !connection.is_evicted());
         let idle = idle.filter_map(|connection| Some((connection.idle_since.get()?, connection)));
@@ -223,14 +223,14 @@
         entries[0].set_idle(None);
         entries[1].set_idle(None);
         entries[1].set_idle(Some(9.0));
-        assert_eq!((lifecycle.busy(), lifecycle.open_connections()), (1, 4));
+        assert_eq!((lifecycle.busy_connections(), lifecycle.open_connections()), (1, 4));
         let evicted = || entries.iter().map(|entry| entry.connection.is_evicted()).collect::<Vec<_>>();
         for wanted in [[false, false, true, false], [false, false, true, true], [false, true, true, true]] {
-            assert!(lifecycle.evict());
+            assert!(lifecycle.evict_longest_idle());
             assert_eq!(evicted(), wanted);
         }
-        assert!(!lifecycle.evict());
+        assert!(!lifecycle.evict_longest_idle());
         drop(entries);
-        assert_eq!((lifecycle.busy(), lifecycle.open_connections()), (0, 0));
+        assert_eq!((lifecycle.busy_connections(), lifecycle.open_connections()), (0, 0));
     }
 }
--- a/crates/edge/src/seek.rs
+++ b/crates/edge/src/leader_lookup.rs
@@ -2,25 +2,25 @@
 
 /// The search for the leader among the core's machines.
 #[derive(Debug, Clone)]
-pub struct Seek {
+pub struct LeaderLookup {
     seeds: Vec<String>,
     known: Vec<String>,
     leader: Option<String>,
 }
 
-impl Seek {
+impl LeaderLookup {
     /// Knows only the seeds' hosts.
-    pub fn new(seeds: Vec<String>) -> Seek {
-        Seek { seeds, known: Vec::new(), leader: None }
+    pub fn new(seeds: Vec<String>) -> LeaderLookup {
+        LeaderLookup { seeds, known: Vec::new(), leader: None }
     }
 
     /// The settings name other seeds.
-    pub fn seeds(&mut self, seeds: Vec<String>) {
+    pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.seeds = seeds;
     }
 
     /// The leader told the core's machines.
-    pub fn known(&mut self, hosts: &[String]) {
+    pub fn set_core_hosts(&mut self, hosts: &[String]) {
         self.known = hosts.to_vec();
     }
 
@@ -30,18 +30,18 @@
     }
 
     /// All hosts where a leader may be found: the core's machines as last told, and the seeds.
-    pub fn all(&self) -> Vec<String> {
+    pub fn candidate_hosts(&self) -> Vec<String> {
         let fresh = self.seeds.iter().filter(|seed| !self.known.contains(seed));
         self.known.iter().chain(fresh).cloned().collect()
     }
 
     /// This host leads.
-    pub fn found(&mut self, host: &str) {
+    pub fn set_leader(&mut self, host: &str) {
         self.leader = Some(host.to_string());
     }
 
     /// The leader doesn't answer, or leads no more.
-    pub fn lost(&mut self) {
+    pub fn clear_leader(&mut self) {
         self.leader = None;
     }
 }
@@ -52,15 +52,15 @@
 
     #[test]
     fn machines_told_and_seeds_are_asked_once_each() {
-        let mut seek = Seek::new(vec!["a".into(), "b".into()]);
-        assert_eq!(seek.all(), ["a", "b"]);
-        seek.known(&["b".into(), "c".into()]);
-        assert_eq!(seek.all(), ["b", "c", "a"]);
-        seek.found("c");
+        let mut seek = LeaderLookup::new(vec!["a".into(), "b".into()]);
+        assert_eq!(seek.candidate_hosts(), ["a", "b"]);
+        seek.set_core_hosts(&["b".into(), "c".into()]);
+        assert_eq!(seek.candidate_hosts(), ["b", "c", "a"]);
+        seek.set_leader("c");
         assert_eq!(seek.leader(), Some("c"));
-        seek.lost();
+        seek.clear_leader();
         assert_eq!(seek.leader(), None);
-        seek.seeds(vec!["d".into()]);
-        assert_eq!(seek.all(), ["b", "c", "d"]);
+        seek.set_seeds(vec!["d".into()]);
+        assert_eq!(seek.candidate_hosts(), ["b", "c", "d"]);
     }
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The gateway's figures as operators collect them. What is counted elsewhere is read here; nothing is counted twice.
 
-use crate::front::{Front, Lifecycle};
-use crate::link::Link;
+use crate::core_client::CoreClient;
+use crate::frontend::{Frontend, Lifecycle};
 use crate::proxy::Proxy;
 use nickeljunction_net::figures::{Kind, Page, Writer, MOST_LABELLED};
 use nickeljunction_pacing::TenantStatus;
@@ -10,13 +10,13 @@
 /// What the figures are read from.
 pub struct Sources {
     /// The clients' side.
-    pub front: Rc<Front>,
+    pub front: Rc<Frontend>,
     /// Clients' connections.
     pub lifecycle: Rc<Lifecycle>,
     /// The servers' side.
     pub proxy: Rc<Proxy>,
     /// What the core told.
-    pub link: Rc<Link>,
+    pub link: Rc<CoreClient>,
 }
 
 impl Sources {
@@ -33,7 +33,7 @@
     }
 
     fn operations(&self, page: &mut Page) {
-        let keyed = self.front.keyed();
+        let keyed = self.front.keyed_operations();
         let table = keyed.as_ref().map(|keyed| keyed.operations().borrow());
         let (remembered, answers, bytes) = table.as_ref().map_or((0, 0, 0), |table| table.held());
         let (claims, recalls) =
@@ -92,19 +92,19 @@
             "edge_first_sends_total",
             Kind::Counter,
             "First sends of requests to servers.",
-            float(counts.sends),
+            float(counts.first_attempts),
         );
         page.one(
             "edge_further_sends_total",
             Kind::Counter,
             "Sends beyond the first of a request.",
-            float(counts.repeats),
+            float(counts.further_attempts),
         );
         page.one(
             "edge_further_sends_denied_total",
             Kind::Counter,
             "Further sends that the budget did not allow.",
-            float(counts.denied),
+            float(counts.further_attempts_denied),
         );
         page.figure("edge_sends_ended_total", Kind::Counter, "Sends by how they ended.");
         for (outcome, count) in counts.outcomes() {
@@ -114,7 +114,7 @@
             "edge_server_connections_total",
             Kind::Counter,
             "Connections opened to servers.",
-            float(counts.connections),
+            float(counts.connections_opened),
         );
         let (open, idle) = self.proxy.connections();
         page.figure("edge_server_connections", Kind::Gauge, "Connections to servers that are open.");
@@ -123,24 +123,24 @@
     }
 
     fn core(&self, page: &mut Page) {
-        let seen = self.link.seen();
+        let seen = self.link.status();
         page.one(
             "edge_ready",
             Kind::Gauge,
             "1 where clients are taken.",
-            f64::from(u8::from(self.link.ready())),
+            f64::from(u8::from(self.link.is_ready())),
         );
         page.one(
             "edge_config_version",
             Kind::Gauge,
             "Version of the configuration in force here, 0 before the first.",
-            seen.version as f64,
+            seen.config_version as f64,
         );
         page.one(
             "edge_knowledge_age_seconds",
             Kind::Gauge,
             "How old what the core told is.",
-            seen.age_ms / 1_000.0,
+            seen.knowledge_age_ms / 1_000.0,
         );
         page.one(
             "edge_core_term",
@@ -187,8 +187,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::link::Own;
-    use crate::proxy::Tuning;
+    use crate::core_client::GatewayIdentity;
+    use crate::proxy::ProxyTuning;
     use crate::table::{Swap, Table};
     use crate::upstream::Place;
     use nickeljunction_net::budget::Budget;
@@ -212,21 +212,21 @@
         let wheel = Wheel::new(Clock::start());
         let place = Place { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
         let budget = Budget::new(64);
-        let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), 1, Tuning::default());
+        let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), 1, ProxyTuning::default());
         let table = Rc::new(Swap::new(Table::empty()));
-        let own = Own {
+        let own = GatewayIdentity {
             place,
-            front: "127.0.0.1:1".into(),
+            client_address: "127.0.0.1:1".into(),
             inner_port: 1,
-            life: 1,
+            incarnation: 1,
             bounds: Bounds::default(),
             zones: Default::default(),
-            directory: false,
+            serves_directory: false,
         };
         let caller = Caller::new(wheel.clone());
-        let link = Link::new(own, wheel.clone(), caller, table.clone(), proxy.clone(), Vec::new(), 1);
+        let link = CoreClient::new(own, wheel.clone(), caller, table.clone(), proxy.clone(), Vec::new(), 1);
         let lifecycle = Rc::new(Lifecycle::default());
-        let front = Front::new(wheel, table, link.clone(), proxy.clone(), lifecycle.clone(), budget, 1);
+        let front = Frontend::new(wheel, table, link.clone(), proxy.clone(), lifecycle.clone(), budget, 1);
         let counts = front.counts();
         counts.refused.set(5);
         counts.stale.set(2);
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -29,7 +29,7 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-pub use crate::figures::{Backend, Counts, Tuning};
+pub use crate::proxy_types::{BackendConfig, ProxyCounts, ProxyTuning};
 
 /// Between two rounds of housekeeping, ms.
 const HOUSEKEEPING_MS: f64 = 1_000.0;
@@ -75,7 +75,9 @@
         };
         let first = load.sends().begun() == 0;
         load.note(Sends::begin);
-        self.shared.count(|counts| *(if first { &mut counts.sends } else { &mut counts.repeats }) += 1);
+        self.shared.count(|counts| {
+            *(if first { &mut counts.first_attempts } else { &mut counts.further_attempts }) += 1
+        });
         let (Some(proxy), Some(lane)) = (self.proxy.upgrade(), self.lane.upgrade()) else { return };
         let send = proxy.send(lane, task.clone(), load.clone(), further);
         let handle = tokio::task::spawn_local(send).abort_handle();
@@ -89,7 +91,7 @@
 
     fn give_up(&mut self, request: RequestKey, attempt: usize, why: Outcome) {
         let Some((handle, load)) = self.out.remove(&(request, attempt)) else { return };
-        self.shared.count(|counts| counts.ended(why));
+        self.shared.count(|counts| counts.count_outcome(why));
         let until = load.deadline - ANSWER_MARGIN_MS;
         if load.is_answered() || load.is_left() || self.shared.wheel.now() >= until {
             // Its connection is closed with it, at the task's next turn.
@@ -186,7 +188,7 @@
 impl Proxy {
     /// The servers' side of the gateway at this place; `seed` should differ between gateways and starts. It takes its
     /// turns only while [`Proxy::run`] is polled, on the `LocalSet` that polls [`Dispatch::dispatch`], too.
-    pub fn new(wheel: Wheel, budget: Rc<Budget>, here: Place, seed: u64, tuning: Tuning) -> Rc<Proxy> {
+    pub fn new(wheel: Wheel, budget: Rc<Budget>, here: Place, seed: u64, tuning: ProxyTuning) -> Rc<Proxy> {
         let pool = Pool::new(wheel.clone(), budget);
         let (book, counts, cold_used) = (RefCell::default(), Cell::default(), Cell::default());
         let (shutdown, units) = (Cell::new(None), RefCell::new(None));
@@ -231,7 +233,7 @@
     }
 
     /// Takes what the configuration says of each service.
-    pub fn backends(&self, backends: HashMap<String, Backend>) {
+    pub fn backends(&self, backends: HashMap<String, BackendConfig>) {
         self.shared.book.borrow_mut().backends = backends;
         self.follow();
     }
@@ -259,7 +261,8 @@
                     most => (most / gateways.unwrap_or(GATEWAYS_ASSUMED)).max(1),
                 };
                 let near = upstream.region == self.shared.here.region;
-                let connect_ms = if near { tuning.connect_ms } else { tuning.connect_far_ms };
+                let connect_ms =
+                    if near { tuning.connect_timeout_ms } else { tuning.cross_region_connect_timeout_ms };
                 pool.follow(id, upstream.address, connect_ms, share as usize);
                 if upstream.cold {
                     let per_s = backend.map_or(0.0, |backend| backend.warmup_per_s);
@@ -366,7 +369,7 @@
     }
 
     fn on_grid(&self, due: f64) -> f64 {
-        let grid = self.shared.tuning.grid_ms.max(1.0);
+        let grid = self.shared.tuning.round_grid_ms.max(1.0);
         (due / grid).ceil() * grid
     }
 
@@ -625,7 +628,7 @@
         let (request, attempt) = (task.request, task.attempt);
         self.drive(lane, |core, now| {
             if core.ports().out.remove(&(request, attempt)).is_some() {
-                self.shared.count(|counts| counts.ended(outcome));
+                self.shared.count(|counts| counts.count_outcome(outcome));
             }
             core.ended(now, request, attempt, outcome, 0.0, served);
         });
@@ -646,8 +649,8 @@
     }
 
     /// Counts since the start.
-    pub fn counts(&self) -> Counts {
-        Counts { connections: self.shared.pool.opened(), ..self.shared.counts.get() }
+    pub fn counts(&self) -> ProxyCounts {
+        ProxyCounts { connections_opened: self.shared.pool.opened(), ..self.shared.counts.get() }
     }
 
     /// Connections to servers: open, and of these idle.
@@ -663,7 +666,7 @@
 
 impl Dispatch for Proxy {
     fn dispatch(&self, exchange: Exchange) {
-        self.shared.count(|counts| counts.taken += 1);
+        self.shared.count(|counts| counts.requests += 1);
         let Some(lane) = self.lane(&exchange.backend, &exchange.homes) else {
             let _ = exchange.reply.send(Answer::Failed);
             return;
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/proxy_types.rs
@@ -6,7 +6,7 @@
 
 /// Figures of the servers' side.
 #[derive(Debug, Clone)]
-pub struct Tuning {
+pub struct ProxyTuning {
     /// The rule's window of further sends, ms.
     pub retry_window_ms: u64,
     /// Further sends for each request, over all gateways.
@@ -16,42 +16,42 @@
     /// How dear a slot is by where it stands.
     pub nearness: Nearness,
     /// How long a connection within the region may take to come up, ms, and to another region.
-    pub connect_ms: f64,
-    /// See `connect_ms`.
-    pub connect_far_ms: f64,
+    pub connect_timeout_ms: f64,
+    /// See `connect_timeout_ms`.
+    pub cross_region_connect_timeout_ms: f64,
     /// Servers are told that they have so much less time than there is, ms.
-    pub margin_ms: f64,
+    pub deadline_margin_ms: f64,
     /// The module's step, ms: its rounds are some of these apart while requests are under way.
-    pub step_ms: f64,
+    pub decide_step_ms: f64,
     /// Rounds of all lanes begin at multiples of this, ms, so that one wake-up serves them all.
-    pub grid_ms: f64,
+    pub round_grid_ms: f64,
     /// Longest advice to stay away, ms.
-    pub retry_after_ms: f64,
+    pub max_retry_after_ms: f64,
     /// A second attempt may go out beside the first.
-    pub second_copies: bool,
+    pub hedging: bool,
 }
 
-impl Default for Tuning {
-    fn default() -> Tuning {
-        Tuning {
+impl Default for ProxyTuning {
+    fn default() -> ProxyTuning {
+        ProxyTuning {
             retry_window_ms: 10_000,
             retry_ratio: 0.2,
             retry_slack: 0,
             nearness: Nearness::default(),
-            connect_ms: 250.0,
-            connect_far_ms: 450.0,
-            margin_ms: 10.0,
-            step_ms: 5.0,
-            grid_ms: 10.0,
-            retry_after_ms: 1_000.0,
-            second_copies: false,
+            connect_timeout_ms: 250.0,
+            cross_region_connect_timeout_ms: 450.0,
+            deadline_margin_ms: 10.0,
+            decide_step_ms: 5.0,
+            round_grid_ms: 10.0,
+            max_retry_after_ms: 1_000.0,
+            hedging: false,
         }
     }
 }
 
 /// What the configuration says of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Backend {
+pub struct BackendConfig {
     /// Connections that each of its servers accepts from all callers together; 0: not told.
     pub max_connections: u32,
     /// Requests a second that a cold server of it bears.
@@ -60,78 +60,82 @@
 
 /// Counts since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ProxyCounts {
     /// Requests taken in.
-    pub taken: u64,
+    pub requests: u64,
     /// First sends of a request, begun anew where no connection came about.
-    pub sends: u64,
+    pub first_attempts: u64,
     /// Further sends.
-    pub repeats: u64,
+    pub further_attempts: u64,
     /// Further sends that the budget didn't allow.
-    pub denied: u64,
+    pub further_attempts_denied: u64,
     /// Sends answered well.
     pub served: u64,
     /// Sends answered with a failure.
     pub errors: u64,
     /// Sends turned away.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Connections that did not come about.
-    pub unconnected: u64,
+    pub connect_failures: u64,
     /// Connections that broke before an answer.
     pub resets: u64,
     /// Answers that could not be used.
-    pub spoilt: u64,
+    pub invalid_answers: u64,
     /// Sends given up for lack of time.
     pub timed_out: u64,
     /// Sends given up since the client had gone, or another one was answered.
-    pub called_off: u64,
+    pub cancelled: u64,
     /// Connections opened.
-    pub connections: u64,
+    pub connections_opened: u64,
 }
 
-impl Counts {
-    pub(crate) fn ended(&mut self, outcome: Outcome) {
+impl ProxyCounts {
+    pub(crate) fn count_outcome(&mut self, outcome: Outcome) {
         let count = match outcome {
             Outcome::Served => &mut self.served,
             Outcome::Error => &mut self.errors,
-            Outcome::TurnedAway => &mut self.turned_away,
-            Outcome::CouldNotConnect => &mut self.unconnected,
+            Outcome::TurnedAway => &mut self.rejected,
+            Outcome::CouldNotConnect => &mut self.connect_failures,
             Outcome::Reset => &mut self.resets,
-            Outcome::Spoilt => &mut self.spoilt,
+            Outcome::Spoilt => &mut self.invalid_answers,
             Outcome::TimedOut => &mut self.timed_out,
-            Outcome::CalledOff => &mut self.called_off,
+            Outcome::CalledOff => &mut self.cancelled,
             Outcome::NotSent => return,
         };
         *count += 1;
     }
 }
 
-impl Counts {
+impl ProxyCounts {
     /// Sends by how they ended.
     pub(crate) fn outcomes(&self) -> [(&'static str, u64); 8] {
         [
             ("served", self.served),
             ("errors", self.errors),
-            ("turned_away", self.turned_away),
-            ("unconnected", self.unconnected),
+            ("turned_away", self.rejected),
+            ("unconnected", self.connect_failures),
             ("resets", self.resets),
-            ("spoilt", self.spoilt),
+            ("spoilt", self.invalid_answers),
             ("timed_out", self.timed_out),
-            ("called_off", self.called_off),
+            ("called_off", self.cancelled),
         ]
     }
 }
 
-impl fmt::Display for Counts {
+impl fmt::Display for ProxyCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "taken={} sends={} repeats={} denied={}",
-            self.taken, self.sends, self.repeats, self.denied
+            self.requests, self.first_attempts, self.further_attempts, self.further_attempts_denied
         )?;
-        write!(f, " served={} errors={} turned_away={}", self.served, self.errors, self.turned_away)?;
-        write!(f, " unconnected={} resets={} spoilt={}", self.unconnected, self.resets, self.spoilt)?;
-        let (timed_out, called_off) = (self.timed_out, self.called_off);
-        write!(f, " timed_out={timed_out} called_off={called_off} connections={}", self.connections)
+        write!(f, " served={} errors={} turned_away={}", self.served, self.errors, self.rejected)?;
+        write!(
+            f,
+            " unconnected={} resets={} spoilt={}",
+            self.connect_failures, self.resets, self.invalid_answers
+        )?;
+        let (timed_out, called_off) = (self.timed_out, self.cancelled);
+        write!(f, " timed_out={timed_out} called_off={called_off} connections={}", self.connections_opened)
     }
 }
--- a/crates/edge/src/reply.rs
+++ b/crates/edge/src/reply.rs
@@ -15,86 +15,86 @@
     /// A server's.
     Served(Served),
     /// The gateway's own.
-    Own(Own),
+    Local(LocalReply),
 }
 
 /// An answer of the gateway itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Own {
+pub struct LocalReply {
     /// Status. 408, 421, 429 and 503 promise that the request has not run and never will.
     pub status: u16,
     /// The step at which the request ended; plain words without quotes.
     pub error: &'static str,
     /// The client may come back after so many ms.
-    pub pause_ms: Option<f64>,
+    pub retry_after_ms: Option<f64>,
 }
 
-impl Own {
+impl LocalReply {
     /// An answer that promises nothing.
-    pub fn new(status: u16, error: &'static str) -> Own {
-        Own { status, error, pause_ms: None }
+    pub fn new(status: u16, error: &'static str) -> LocalReply {
+        LocalReply { status, error, retry_after_ms: None }
     }
 
     /// The request has not run and will not; the client may come back after so many ms (0: not known).
-    pub fn refusal(status: u16, error: &'static str, pause_ms: f64) -> Own {
+    pub fn refusal(status: u16, error: &'static str, pause_ms: f64) -> LocalReply {
         let known = pause_ms.is_finite() && pause_ms > 0.0;
         let pause_ms = if known { pause_ms.max(LEAST_PAUSE_MS) } else { USUAL_PAUSE_MS };
-        Own { status, error, pause_ms: Some(pause_ms) }
+        LocalReply { status, error, retry_after_ms: Some(pause_ms) }
     }
 }
 
 /// What an answer must respect of the connection and the request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Hop {
+pub struct ReplyContext {
     /// The connection ends with this answer.
     pub close: bool,
     /// The client's minor version of HTTP/1.
-    pub minor: u8,
+    pub http_minor: u8,
     /// The request was `HEAD`: its answer has no body.
-    pub to_head: bool,
+    pub is_head: bool,
     /// How long an idle connection is kept, ms.
-    pub idle_ms: f64,
+    pub idle_timeout_ms: f64,
 }
 
 /// What follows the head of a server's answer.
-pub enum Follows {
+pub enum ReplyBody {
     /// Nothing.
-    Nothing,
+    Empty,
     /// These bytes.
     Whole(Bytes),
     /// A body that still comes, of so many bytes, or in chunks.
     Streamed(crate::exchange::Stream),
 }
 
-fn put_connection(to: &mut BytesMut, hop: &Hop) {
+fn put_connection(to: &mut BytesMut, hop: &ReplyContext) {
     if hop.close {
         return put_line(to, "Connection", b"close");
     }
-    if hop.minor == 0 {
+    if hop.http_minor == 0 {
         put_line(to, "Connection", b"keep-alive");
     }
     // A second less than the truth: a request sent at the last moment must not meet the end of the connection.
-    let seconds = (hop.idle_ms / 1_000.0 - 1.0).floor();
+    let seconds = (hop.idle_timeout_ms / 1_000.0 - 1.0).floor();
     if seconds >= 1.0 {
         let _ = write!(to, "Keep-Alive: timeout={seconds}\r\n");
     }
 }
 
 /// Writes an answer of the gateway itself, body and all.
-pub fn put_own(to: &mut BytesMut, own: &Own, attempt_id: Option<&str>, hop: &Hop) {
+pub fn put_local_reply(to: &mut BytesMut, own: &LocalReply, attempt_id: Option<&str>, hop: &ReplyContext) {
     let body = format!("{{\"error\":\"{}\"}}", own.error);
     to.reserve(256 + body.len());
     put_status(to, own.status);
     if let Some(id) = attempt_id {
         put_line(to, "X-Attempt-Id", id.as_bytes());
     }
-    if let Some(pause) = own.pause_ms {
+    if let Some(pause) = own.retry_after_ms {
         // Rounded up: back a hair too early is refused again.
         let _ = write!(to, "Retry-After: {:.3}\r\n", (pause.ceil()) / 1_000.0);
     }
     put_connection(to, hop);
     let _ = write!(to, "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n", body.len());
-    if !hop.to_head {
+    if !hop.is_head {
         to.put_slice(body.as_bytes());
     }
 }
@@ -103,12 +103,16 @@
 ///
 /// # Errors
 /// Nothing was written, for the client's old version has no way to tell where such a body ends from where it broke.
-pub fn put_served(to: &mut BytesMut, served: Served, hop: &Hop) -> Result<Follows, Own> {
+pub fn put_served_reply(
+    to: &mut BytesMut,
+    served: Served,
+    hop: &ReplyContext,
+) -> Result<ReplyBody, LocalReply> {
     let Served { status, headers, body } = served;
-    let bodiless = hop.to_head || matches!(status, 204 | 304);
-    if let (false, 0, ServedBody::Streamed(stream)) = (bodiless, hop.minor, &body) {
+    let bodiless = hop.is_head || matches!(status, 204 | 304);
+    if let (false, 0, ServedBody::Streamed(stream)) = (bodiless, hop.http_minor, &body) {
         if stream.length.is_none() {
-            return Err(Own::new(502, "answer of unknown length for HTTP/1.0"));
+            return Err(LocalReply::new(502, "answer of unknown length for HTTP/1.0"));
         }
     }
     to.reserve(512);
@@ -119,7 +123,7 @@
     put_connection(to, hop);
     let length = match &body {
         // What the body would have been, in the server's own words.
-        _ if hop.to_head => headers.get("content-length").map(str::to_string),
+        _ if hop.is_head => headers.get("content-length").map(str::to_string),
         _ if bodiless => None,
         ServedBody::Whole(bytes) => Some(bytes.len().to_string()),
         ServedBody::Streamed(stream) => stream.length.map(|length| length.to_string()),
@@ -131,8 +135,8 @@
     }
     to.put_slice(b"\r\n");
     Ok(match body {
-        _ if bodiless => Follows::Nothing,
-        ServedBody::Whole(bytes) => Follows::Whole(bytes),
-        ServedBody::Streamed(stream) => Follows::Streamed(stream),
+        _ if bodiless => ReplyBody::Empty,
+        ServedBody::Whole(bytes) => ReplyBody::Whole(bytes),
+        ServedBody::Streamed(stream) => ReplyBody::Streamed(stream),
     })
 }
--- a/crates/edge/src/resolve.rs
+++ b/crates/edge/src/resolve.rs
@@ -1,6 +1,6 @@
 //! `/-/resolve`: where a client is to go.
 
-use crate::link::Link;
+use crate::core_client::CoreClient;
 use nickeljunction_messages::GatewayInfo;
 use nickeljunction_net::desk::{percent_decoded, Answering, Call, Resource, Response};
 use nickeljunction_registry::{nearby_gateways, Client};
@@ -9,14 +9,14 @@
 
 /// See the module.
 pub struct Resolve {
-    link: Rc<Link>,
+    link: Rc<CoreClient>,
     dice: RefCell<fastrand::Rng>,
     ttl_s: f64,
 }
 
 impl Resolve {
     /// The directory; its answers are kept for `ttl_s`.
-    pub fn new(link: Rc<Link>, seed: u64, ttl_s: f64) -> Resolve {
+    pub fn new(link: Rc<CoreClient>, seed: u64, ttl_s: f64) -> Resolve {
         Resolve { link, dice: RefCell::new(fastrand::Rng::with_seed(seed)), ttl_s }
     }
 }
@@ -37,8 +37,8 @@
             let homes = self.link.host_homes(&asked("name"));
             let client = Client { region: &region, zone: &zone, homes: homes.as_deref() };
             let dice = self.dice.borrow_mut().u64(..);
-            let mut roster = self.link.roster();
-            if self.link.out_of_touch() {
+            let mut roster = self.link.gateways();
+            if self.link.is_out_of_touch() {
                 roster = Rc::new(others(&roster, self.link.name()));
             }
             let addresses = nearby_gateways(&roster, &client, self.link.zones(), dice);
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -1,14 +1,14 @@
 //! What the decision module is told of a service's servers: its settings, and each server as this gateway sees it.
 
-use crate::figures::Tuning;
 use crate::preference;
+use crate::proxy_types::ProxyTuning;
 use crate::upstream::{near, Place, Upstream};
 use nickeljunction_core::facade::{Class, Plan, RegionEntry, RegionState, Settings};
 use std::collections::HashSet;
 
 /// The module's settings for requests of these classes; `subset_least`: see [`Scope::subset_least`].
 pub fn settings(
-    tuning: &Tuning,
+    tuning: &ProxyTuning,
     here: &Place,
     classes: Vec<Class>,
     max_attempts: u32,
@@ -32,16 +32,16 @@
         gateway_index: 0,
         gateway_count: 1,
         zone: here.zone.clone(),
-        step_ms: tuning.step_ms,
+        step_ms: tuning.decide_step_ms,
         min_subset: subset_least,
         classes,
         plans: vec![plan],
         max_request_units: 1.0,
         max_attempts: max_attempts.max(1) as usize,
-        max_retry_after_ms: tuning.retry_after_ms,
+        max_retry_after_ms: tuning.max_retry_after_ms,
         retry_after: true,
-        hedging: tuning.second_copies,
-        may_cancel: tuning.second_copies,
+        hedging: tuning.hedging,
+        may_cancel: tuning.hedging,
         cold_start_share: 1.0,
         ..Settings::default()
     }
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -1,12 +1,12 @@
 //! Brings the parts up and down.
 
+use crate::core_client::{CoreClient, GatewayIdentity};
 use crate::drain::drain;
 use crate::exchange::Admission;
-use crate::front::{Front, Keyed, Lifecycle};
-use crate::link::{Link, Own};
+use crate::frontend::{Frontend, KeyedOperations, Lifecycle};
 use crate::metrics::Sources;
 use crate::operations::Operations;
-use crate::proxy::{Proxy, Tuning};
+use crate::proxy::{Proxy, ProxyTuning};
 use crate::recall::Recall;
 use crate::resolve::Resolve;
 use crate::shutdown::Shutdown;
@@ -61,12 +61,12 @@
 }
 
 /// `/-/readiness`.
-struct Readiness(Rc<Link>);
+struct Readiness(Rc<CoreClient>);
 
 impl Resource for Readiness {
     fn handle<'a>(&'a self, _call: Call) -> Answering<'a> {
         Box::pin(async move {
-            match self.0.ready() {
+            match self.0.is_ready() {
                 true => Response::empty(200),
                 false => Response::error(503, "not ready: leaving, or the core has not been heard of"),
             }
@@ -96,31 +96,31 @@
     };
     let sockets = settings.limits.max_file_descriptors.saturating_sub(OTHER_DESCRIPTORS).max(64);
     let budget = Budget::new(sockets as usize);
-    let tuning = Tuning {
+    let tuning = ProxyTuning {
         retry_window_ms: (bounds.retry_window_s * 1_000.0) as u64,
         retry_ratio: bounds.retry_budget_ratio,
         retry_slack: bounds.retry_slack as u32,
-        ..Tuning::default()
+        ..ProxyTuning::default()
     };
     let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), dice.u64(..), tuning);
     let table = Rc::new(Swap::new(Table::empty()));
     let caller = Caller::new(wheel.clone());
-    let life = dice.u64(..);
-    let own = Own {
+    let incarnation = dice.u64(..);
+    let own = GatewayIdentity {
         place,
-        front: addresses.frontend.to_string(),
+        client_address: addresses.frontend.to_string(),
         inner_port: addresses.inner_port,
-        life,
+        incarnation,
         bounds: bounds.clone(),
         zones: settings.zones.clone(),
-        directory: addresses.directory.is_some(),
+        serves_directory: addresses.directory.is_some(),
     };
     let seeds = hosts(&addresses.seeds);
-    let link = Link::new(own, wheel.clone(), caller, table.clone(), proxy.clone(), seeds, dice.u64(..));
+    let link = CoreClient::new(own, wheel.clone(), caller, table.clone(), proxy.clone(), seeds, dice.u64(..));
     let units: Rc<dyn Admission> = link.clone();
     proxy.units(Rc::downgrade(&units));
     let lifecycle = Rc::new(Lifecycle::default());
-    let front = Front::new(
+    let front = Frontend::new(
         wheel.clone(),
         table,
         link.clone(),
@@ -129,9 +129,9 @@
         budget,
         dice.u64(..),
     );
-    let operations = Operations::new(claimant_host(addresses.ip), life, bounds.key_window_s * 1_000.0);
+    let operations = Operations::new(claimant_host(addresses.ip), incarnation, bounds.key_window_s * 1_000.0);
     let operations = Rc::new(RefCell::new(operations));
-    front.claim_by(Keyed::new(wheel.clone(), operations.clone(), link.clone()));
+    front.set_keyed_operations(KeyedOperations::new(wheel.clone(), operations.clone(), link.clone()));
     let inner = listen("inner calls", SocketAddr::new(addresses.ip, addresses.inner_port)).await?;
     let recalls = Desk::new(wheel.clone(), Limits { connections: MOST_RECALLING, ..Limits::default() })
         .route(path::RECALL, Rc::new(Recall::new(wheel.clone(), operations)));
@@ -156,8 +156,8 @@
     tokio::task::spawn_local(Rc::new(desk).serve(readiness));
     tokio::task::spawn_local(Rc::new(recalls).serve(inner));
     tokio::task::spawn_local(front.clone().serve(clients));
-    tokio::task::spawn_local(link.clone().watch());
-    tokio::task::spawn_local(link.clone().count());
+    tokio::task::spawn_local(link.clone().run_watch());
+    tokio::task::spawn_local(link.clone().run_quota_sync());
     tokio::task::spawn_local(link.ebb().clone().share(link.clone()));
     let leaving = proxy.clone();
     tokio::task::spawn_local(note(wheel.clone(), front, proxy));
@@ -169,10 +169,10 @@
     let open = lifecycle.open_connections();
     let name = &settings.node_name;
     log::info!("event=leaving name={name} open={open} stalled_ms={stalled_ms:.0} late_ms={late_ms:.0}");
-    link.leave();
+    link.begin_shutdown();
     leaving.leave(shutdown);
-    lifecycle.leave(shutdown);
-    drain(&wheel, &lifecycle, shutdown, link.give_back()).await;
+    lifecycle.begin_shutdown(shutdown);
+    drain(&wheel, &lifecycle, shutdown, link.return_units()).await;
     log::info!("event=left name={} open={}", settings.node_name, lifecycle.open_connections());
     Ok(())
 }
@@ -185,28 +185,28 @@
     }
 }
 
-async fn note(wheel: Wheel, front: Rc<Front>, proxy: Rc<Proxy>) {
+async fn note(wheel: Wheel, front: Rc<Frontend>, proxy: Rc<Proxy>) {
     loop {
         wheel.sleep(NOTE_MS).await;
-        log::info!("event=counts {}", front.counts().note());
+        log::info!("event=counts {}", front.counts().log_line());
         log::info!("{}", proxy.note());
-        if let Some(line) = front.keyed().and_then(|keyed| keyed.note()) {
+        if let Some(line) = front.keyed_operations().and_then(|keyed| keyed.log_line()) {
             log::info!("{line}");
         }
-        if let Some(line) = front.beyond().take() {
+        if let Some(line) = front.over_quota().take() {
             log::info!("{line}");
         }
     }
 }
 
 /// Until SIGTERM or SIGINT; at SIGHUP the seeds of the changed file are taken.
-async fn wait_for_stop(mut orders: Orders, settings: &Settings, link: &Link) {
+async fn wait_for_stop(mut orders: Orders, settings: &Settings, link: &CoreClient) {
     while orders.next().await == Order::Reload {
         let file = &settings.source;
         match Settings::read(file).and_then(|settings| settings.edge_checked()) {
             Ok(addresses) => {
                 log::info!("event=settings_read file={file:?}");
-                link.seeds(hosts(&addresses.seeds));
+                link.set_seeds(hosts(&addresses.seeds));
             }
             // What can't be used changes nothing.
             Err(error) => log::error!("event=settings_refused error={:?}", error.to_string()),
--- a/crates/edge/src/shared.rs
+++ b/crates/edge/src/shared.rs
@@ -4,8 +4,8 @@
 use crate::budget::{slack_share, Permits, RepeatBudget, GATEWAYS_ASSUMED};
 use crate::exchange::Admission;
 use crate::exchange_state::Withheld;
-use crate::figures::{Backend, Counts, Tuning};
 use crate::pool::Pool;
+use crate::proxy_types::{BackendConfig, ProxyCounts, ProxyTuning};
 use crate::selection::Scope;
 use crate::shutdown::Shutdown;
 use crate::upstream::{Place, Upstream};
@@ -18,10 +18,10 @@
 pub(crate) struct Shared {
     pub(crate) pool: Rc<Pool>,
     pub(crate) wheel: Wheel,
-    pub(crate) tuning: Tuning,
+    pub(crate) tuning: ProxyTuning,
     pub(crate) here: Place,
     pub(crate) book: RefCell<Book>,
-    pub(crate) counts: Cell<Counts>,
+    pub(crate) counts: Cell<ProxyCounts>,
     /// A cold server's permit has been used since the tables were last told.
     pub(crate) cold_used: Cell<bool>,
     /// The schedule of the shutdown, once the order to leave has come.
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub(crate) struct Book {
     pub(crate) upstreams: BTreeMap<String, Upstream>,
-    pub(crate) backends: HashMap<String, Backend>,
+    pub(crate) backends: HashMap<String, BackendConfig>,
     pub(crate) gateways: Option<u32>,
     pub(crate) budgets: HashMap<Rc<str>, RepeatBudget>,
     pub(crate) permits: HashMap<String, Permits>,
@@ -62,10 +62,10 @@
             Some(shutdown) => shutdown.bound_deadline(load.deadline),
             None => load.deadline,
         };
-        deadline - self.wheel.now() - self.tuning.margin_ms
+        deadline - self.wheel.now() - self.tuning.deadline_margin_ms
     }
 
-    pub(crate) fn count(&self, change: impl FnOnce(&mut Counts)) {
+    pub(crate) fn count(&self, change: impl FnOnce(&mut ProxyCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
@@ -101,7 +101,7 @@
             let tenant = load.tenant.as_deref();
             if let Some((units, tenant)) = units.zip(tenant).filter(|(units, tenant)| !units.also(tenant)) {
                 drop(units);
-                self.count(|counts| counts.denied += 1);
+                self.count(|counts| counts.further_attempts_denied += 1);
                 log::debug!("event=send_denied tenant={tenant} why=units");
                 return Err(Withheld::Units);
             }
@@ -115,7 +115,7 @@
         } else if budget.repeat(now) {
             further = Some(now);
         } else {
-            self.count(|counts| counts.denied += 1);
+            self.count(|counts| counts.further_attempts_denied += 1);
             return Err(Withheld::Budget);
         }
         if cold {
--- a/crates/edge/src/alarm.rs
+++ b/crates/edge/src/wake_timer.rs
@@ -8,19 +8,19 @@
 const LONGEST_MS: f64 = 60_000.0;
 
 /// See the module.
-pub struct Alarm {
+pub struct WakeTimer {
     /// What the task sleeps until, ms by the wheel's clock.
     set_for: Cell<f64>,
     earlier: Notify,
 }
 
-impl Default for Alarm {
-    fn default() -> Alarm {
-        Alarm { set_for: Cell::new(f64::INFINITY), earlier: Notify::new() }
+impl Default for WakeTimer {
+    fn default() -> WakeTimer {
+        WakeTimer { set_for: Cell::new(f64::INFINITY), earlier: Notify::new() }
     }
 }
 
-impl Alarm {
+impl WakeTimer {
     /// Sleeps until `wake`, or until it is brought forward.
     pub async fn sleep_until(&self, wheel: &Wheel, wake: f64) {
         self.set_for.set(wake);
@@ -38,7 +38,7 @@
     }
 
     /// The task looks again at once.
-    pub fn ring(&self) {
+    pub fn wake_now(&self) {
         self.earlier.notify_one();
     }
 }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -5,7 +5,7 @@
 //! another call has brought an answer, or when it is of no use any more. So a link on which every answer takes longer than
 //! the patience here costs further calls, but never the answer itself.
 
-use crate::seek::Seek;
+use crate::leader_lookup::LeaderLookup;
 use std::collections::BTreeMap;
 
 /// How long the leader may hold a call, ms: with the answer's way it bounds how old the knowledge of a gateway in
@@ -13,19 +13,19 @@
 pub const HOLD_MS: u64 = 1_000;
 /// A call that isn't answered so long after its hold is in doubt, ms; twice as long where it was made beside another one
 /// in doubt at the same host: on a thin link each answer makes the others wait.
-pub const DOUBT_MS: f64 = 400.0;
+pub const OVERDUE_MS: f64 = 400.0;
 /// A call is given up so long after its hold, ms. A new connection over a link on which packets wait for half a second
 /// each way has its answer after 2 s.
 pub const GIVE_UP_MS: f64 = 3_000.0;
 /// How long a connection for a call may take to come up, ms: on a thin link with packets waiting, longer than other calls
 /// have in all.
-pub const CONNECT_MS: f64 = 2_000.0;
+pub const CONNECT_TIMEOUT_MS: f64 = 2_000.0;
 /// Most calls beside one another at one host: no more are made then.
-const MOST_BESIDE: usize = 4;
+const MAX_CALLS_PER_HOST: usize = 4;
 /// Pause before a host that doesn't lead is asked once more, ms: first, and at most.
-const AGAIN_MS: (f64, f64) = (40.0, 200.0);
+const RETRY_PAUSE_MS: (f64, f64) = (40.0, 200.0);
 /// What a pause grows by.
-const AGAIN_GROWS: f64 = 1.5;
+const RETRY_PAUSE_GROWTH: f64 = 1.5;
 
 /// A watch call.
 #[derive(Debug, Clone, PartialEq)]
@@ -53,22 +53,22 @@
 
 /// What is to be done with calls.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
+pub enum CallAction {
     /// This one is to be made.
-    Ask(Call),
+    Start(Call),
     /// This one is to be dropped, with its connection.
-    HangUp(Call),
+    Cancel(Call),
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallOutcome {
     /// The host leads, and its answer was taken.
     Answered,
     /// The host leads, and another call of it brought something newer before.
-    Overtaken,
+    Superseded,
     /// The host doesn't lead; who does, where it knows.
-    Elsewhere(Option<String>),
+    NotLeader(Option<String>),
     /// No connection, a broken one, or an answer of no use.
     Failed,
 }
@@ -83,7 +83,7 @@
 /// See the module.
 #[derive(Debug)]
 pub struct Watcher {
-    seek: Seek,
+    seek: LeaderLookup,
     calls: Vec<Call>,
     hung_up: Vec<Call>,
     paces: BTreeMap<String, Pace>,
@@ -103,7 +103,7 @@
     /// One that knows only the seeds' hosts. Calls are numbered from `first_id`.
     pub fn new(seeds: Vec<String>, first_id: u64) -> Watcher {
         Watcher {
-            seek: Seek::new(seeds),
+            seek: LeaderLookup::new(seeds),
             calls: Vec::new(),
             hung_up: Vec::new(),
             paces: BTreeMap::new(),
@@ -122,24 +122,24 @@
     }
 
     /// The settings name other seeds.
-    pub fn seeds(&mut self, seeds: Vec<String>) {
-        self.seek.seeds(seeds);
+    pub fn set_seeds(&mut self, seeds: Vec<String>) {
+        self.seek.set_seeds(seeds);
     }
 
     /// The leader told the core's machines.
-    pub fn known(&mut self, hosts: &[String]) {
-        self.seek.known(hosts);
+    pub fn set_core_hosts(&mut self, hosts: &[String]) {
+        self.seek.set_core_hosts(hosts);
     }
 
     /// Another call's answer shows that the leader knows more than this gateway. The held call's answer is mostly on its
     /// way then: the leader is asked beside it where nothing comes.
-    pub fn behind(&mut self, now: f64) {
-        let at = *self.behind_at.get_or_insert(now + DOUBT_MS);
+    pub fn newer_version_seen(&mut self, now: f64) {
+        let at = *self.behind_at.get_or_insert(now + OVERDUE_MS);
         self.wake_at = self.wake_at.min(at);
     }
 
     /// The leader is to be asked at once, beside what it holds: there is something to say to it, or a doubt.
-    pub fn recall(&mut self) {
+    pub fn query_leader_now(&mut self) {
         self.recall = true;
         self.wake_at = f64::NEG_INFINITY;
     }
@@ -150,7 +150,7 @@
     }
 
     /// A call at the leader that was made after the last one it answered has taken too long; or nobody is known to lead.
-    pub fn in_doubt(&self, now: f64) -> bool {
+    pub fn is_leader_overdue(&self, now: f64) -> bool {
         let Some(leader) = self.seek.leader() else { return true };
         self.at(leader).any(|call| call.id > self.heard && !call.sound(now))
     }
@@ -160,20 +160,20 @@
     }
 
     /// What is to be done now. `known_ms` is the age of the gateway's knowledge.
-    pub fn poll(&mut self, now: f64, known_ms: f64) -> Vec<Step> {
+    pub fn poll(&mut self, now: f64, known_ms: f64) -> Vec<CallAction> {
         let (over, under_way) =
             std::mem::take(&mut self.calls).into_iter().partition(|call: &Call| now >= call.over_at());
         self.calls = under_way;
         self.hung_up.extend::<Vec<Call>>(over);
         self.recall |= self.behind_at.take_if(|at| *at <= now).is_some();
         let mut asked = Vec::new();
-        match self.in_doubt(now) {
+        match self.is_leader_overdue(now) {
             true => self.search(now, &mut asked),
             false => self.follow(now, known_ms, &mut asked),
         }
         self.wake_at = self.due(now);
-        let hung_up = std::mem::take(&mut self.hung_up).into_iter().map(Step::HangUp);
-        hung_up.chain(asked.into_iter().map(Step::Ask)).collect()
+        let hung_up = std::mem::take(&mut self.hung_up).into_iter().map(CallAction::Cancel);
+        hung_up.chain(asked.into_iter().map(CallAction::Start)).collect()
     }
 
     /// Has a call held at the leader, and one beside it where something is to be said or asked at once.
@@ -181,7 +181,7 @@
         let Some(leader) = self.seek.leader().map(str::to_owned) else { return };
         let asks = |brief: bool| self.at(&leader).any(|call| call.sound(now) && (call.hold_ms == 0) == brief);
         let (held, brief) = (asks(false), asks(true));
-        if self.at(&leader).count() >= MOST_BESIDE {
+        if self.at(&leader).count() >= MAX_CALLS_PER_HOST {
             return;
         }
         if self.recall && !brief {
@@ -189,7 +189,7 @@
             asked.push(self.ask(now, &leader, 0));
         } else if !held && !brief {
             // One that has not answered lately is not asked to hold the call: it may be dark.
-            let fresh = known_ms < HOLD_MS as f64 + DOUBT_MS;
+            let fresh = known_ms < HOLD_MS as f64 + OVERDUE_MS;
             asked.push(self.ask(now, &leader, if fresh { HOLD_MS } else { 0 }));
         }
     }
@@ -197,10 +197,10 @@
     /// Asks all machines of the core who leads, each for itself and again: one after the other, or in rounds, each dark
     /// one would cost its time.
     fn search(&mut self, now: f64, asked: &mut Vec<Call>) {
-        for host in self.hosts() {
+        for host in self.candidate_hosts() {
             let next_at = self.paces.get(&host).map_or(now, |pace| pace.next_at);
             let sound = self.at(&host).any(|call| call.sound(now) && call.hold_ms == 0);
-            if now < next_at || sound || self.at(&host).count() >= MOST_BESIDE {
+            if now < next_at || sound || self.at(&host).count() >= MAX_CALLS_PER_HOST {
                 continue;
             }
             // It says what there is to say.
@@ -210,8 +210,8 @@
     }
 
     /// All hosts where the leader may be found.
-    pub fn hosts(&self) -> Vec<String> {
-        let mut hosts = self.seek.all();
+    pub fn candidate_hosts(&self) -> Vec<String> {
+        let mut hosts = self.seek.candidate_hosts();
         let more = self.pointed.iter().filter(|host| !hosts.contains(host)).cloned().collect::<Vec<_>>();
         hosts.extend(more);
         hosts
@@ -220,7 +220,7 @@
     fn ask(&mut self, now: f64, host: &str, hold_ms: u64) -> Call {
         self.next_id += 1;
         let beside = self.at(host).any(|call| !call.sound(now));
-        let doubt_at = now + hold_ms as f64 + DOUBT_MS * if beside { 2.0 } else { 1.0 };
+        let doubt_at = now + hold_ms as f64 + OVERDUE_MS * if beside { 2.0 } else { 1.0 };
         let call = Call { id: self.next_id, host: host.to_owned(), hold_ms, sent: now, doubt_at };
         self.calls.push(call.clone());
         call
@@ -236,25 +236,25 @@
     }
 
     /// A call has ended. `luck`, 0 to 1, is for pauses: gateways that lost a leader together don't ask in step.
-    pub fn ended(&mut self, now: f64, id: u64, how: Ended, luck: f64) {
+    pub fn call_ended(&mut self, now: f64, id: u64, how: CallOutcome, luck: f64) {
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls.remove(at);
         self.wake_at = f64::NEG_INFINITY;
         match how {
-            Ended::Answered => self.answered(now, &call),
-            Ended::Overtaken => self.heard = self.heard.max(call.id),
-            Ended::Elsewhere(leader) => {
+            CallOutcome::Answered => self.answered(now, &call),
+            CallOutcome::Superseded => self.heard = self.heard.max(call.id),
+            CallOutcome::NotLeader(leader) => {
                 self.not_there(now, &call, luck);
-                self.pointed.extend(leader.filter(|host| !self.hosts().contains(host)));
+                self.pointed.extend(leader.filter(|host| !self.candidate_hosts().contains(host)));
             }
-            Ended::Failed => self.not_there(now, &call, luck),
+            CallOutcome::Failed => self.not_there(now, &call, luck),
         }
     }
 
     fn answered(&mut self, now: f64, call: &Call) {
         self.heard = self.heard.max(call.id);
         self.behind_at = None;
-        self.seek.found(&call.host);
+        self.seek.set_leader(&call.host);
         self.paces.clear();
         self.pointed.clear();
         // What was asked beside it has no use any more, but for a call that the leader may hold on.
@@ -266,10 +266,11 @@
 
     fn not_there(&mut self, now: f64, call: &Call, luck: f64) {
         if self.seek.leader() == Some(call.host.as_str()) {
-            self.seek.lost();
+            self.seek.clear_leader();
         }
-        let pace = self.paces.entry(call.host.clone()).or_insert(Pace { next_at: now, pause: AGAIN_MS.0 });
+        let pace =
+            self.paces.entry(call.host.clone()).or_insert(Pace { next_at: now, pause: RETRY_PAUSE_MS.0 });
         pace.next_at = now + pace.pause * (0.5 + luck);
-        pace.pause = (pace.pause * AGAIN_GROWS).min(AGAIN_MS.1);
+        pace.pause = (pace.pause * RETRY_PAUSE_GROWTH).min(RETRY_PAUSE_MS.1);
     }
 }
--- a/crates/edge/tests/cuts.rs
+++ b/crates/edge/tests/cuts.rs
@@ -4,8 +4,8 @@
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{Body, Dispatch, Exchange, Part, Served, ServedBody};
-use nickeljunction_edge::figures::{Backend, Tuning};
 use nickeljunction_edge::proxy::Proxy;
+use nickeljunction_edge::proxy_types::{BackendConfig, ProxyTuning};
 use nickeljunction_edge::upstream::Place;
 use nickeljunction_http::stream::{read_request_head, BodyReader};
 use nickeljunction_http::Chunk;
@@ -197,7 +197,7 @@
 impl World {
     async fn new(wheel: Wheel, cut: Cut) -> World {
         let here = Place { name: "g1".into(), zone: "n1".into(), region: "n".into() };
-        let tuning = Tuning { retry_slack: 1_000, ..Tuning::default() };
+        let tuning = ProxyTuning { retry_slack: 1_000, ..ProxyTuning::default() };
         let proxy = Proxy::new(wheel.clone(), Budget::new(200), here, 7, tuning);
         let (seen, mut tasks, mut lines) = (Rc::new(Seen::default()), JoinSet::new(), Vec::new());
         tasks.spawn_local(proxy.clone().run());
@@ -215,7 +215,7 @@
             });
         }
         proxy.fleet(1);
-        let backend = Backend { max_connections: 100, warmup_per_s: 0.0 };
+        let backend = BackendConfig { max_connections: 100, warmup_per_s: 0.0 };
         proxy.backends(HashMap::from([("b".to_string(), backend)]));
         proxy.servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
         World { proxy, wheel, seen, _tasks: tasks }
@@ -237,7 +237,7 @@
     let first = told(world.ask("a", cut.repeat, patience_ms).await);
     let held_ms = world.wheel.now() - began;
     assert!(held_ms < patience_ms + LATE_MS, "{cut:?}: held for {held_ms} ms");
-    let sent = proxy.counts().sends + proxy.counts().repeats;
+    let sent = proxy.counts().first_attempts + proxy.counts().further_attempts;
     let runs = |id: &str| seen.ran.borrow().iter().filter(|ran| *ran == id).count();
     let fine = |id: &str| Ok(Some(format!("for {id}")));
     let whole_answer = cut.at == Spot::Answer(good("a").len());
--- a/crates/edge/tests/front.rs
+++ b/crates/edge/tests/front.rs
@@ -39,7 +39,7 @@
             assert!(head.contains("Keep-Alive: timeout=14\r\n"), "{head}");
             assert!(!head.contains("Connection:"), "the server's own connection: {head}");
         }
-        assert_eq!((world.front.counts().served.get(), world.lifecycle.busy()), (3, 0));
+        assert_eq!((world.front.counts().served.get(), world.lifecycle.busy_connections()), (3, 0));
     });
 }
 
@@ -56,7 +56,10 @@
             world.serve(id);
             assert_eq!(read(&mut client).await.1, format!("body of {id}"));
         }
-        println!("a connection's task: {} bytes", std::mem::size_of_val(&world.front.clone().attend(client)));
+        println!(
+            "a connection's task: {} bytes",
+            std::mem::size_of_val(&world.front.clone().serve_connection(client))
+        );
     });
 }
 
@@ -107,7 +110,7 @@
         drop(client);
         settle().await;
         assert!(world.proxy.take("3").reply.is_closed(), "its client has gone");
-        assert_eq!((world.front.counts().gone.get(), world.lifecycle.open_connections()), (1, 0));
+        assert_eq!((world.front.counts().client_gone.get(), world.lifecycle.open_connections()), (1, 0));
     });
 }
 
@@ -246,9 +249,9 @@
             );
             assert!(head.contains("X-Attempt-Id: 1\r\n") && world.proxy.ids().is_empty(), "{head}");
         }
-        let told = world.front.beyond().take();
+        let told = world.front.over_quota().take();
         assert_eq!(told.as_deref(), Some("event=over_quota refused=1 tenants=1 most=\"t\" its=1"));
-        assert_eq!(world.front.beyond().take(), None, "told once");
+        assert_eq!(world.front.over_quota().take(), None, "told once");
         assert!(world.desk.asked.borrow().iter().all(|tenant| tenant == "t"));
         // Stale keys don't keep what needs none from being served.
         send(&mut client, &get("/i/", "2")).await;
@@ -394,11 +397,11 @@
         assert_eq!(rest(&mut client).await, "");
         // One that doesn't read its answer is let go of.
         let (mut client, io) = tokio::io::duplex(64);
-        tokio::task::spawn_local(world.front.clone().attend(io));
+        tokio::task::spawn_local(world.front.clone().serve_connection(io));
         send(&mut client, &get("/i/", "2")).await;
         world.dispatched(&["2"]).await;
         world.serve("2");
-        world.lifecycle.empty().await;
+        world.lifecycle.all_closed().await;
         assert_eq!(world.front.counts().broken.get(), 1);
     });
 }
--- a/crates/edge/tests/front_world/mod.rs
+++ b/crates/edge/tests/front_world/mod.rs
@@ -9,7 +9,7 @@
 use nickeljunction_edge::exchange::{
     Admission, Admitted, Dispatch, Exchange, Part, Served, ServedBody, Stream,
 };
-use nickeljunction_edge::front::{Front, Lifecycle};
+use nickeljunction_edge::frontend::{Frontend, Lifecycle};
 use nickeljunction_edge::table::{Swap, Table};
 use nickeljunction_http::Headers;
 use nickeljunction_net::budget::Budget;
@@ -73,7 +73,7 @@
 }
 
 pub struct World {
-    pub front: Rc<Front>,
+    pub front: Rc<Frontend>,
     pub proxy: Rc<Proxy>,
     pub desk: Rc<Desk>,
     pub lifecycle: Rc<Lifecycle>,
@@ -103,7 +103,7 @@
         let ebb = Ebb::new(wheel.clone());
         let desk = Rc::new(Desk { says, stale, asked: RefCell::default(), ebb });
         let lifecycle = Rc::new(Lifecycle::default());
-        let front = Front::new(
+        let front = Frontend::new(
             wheel.clone(),
             Rc::new(Swap::new(table)),
             desk.clone(),
@@ -117,7 +117,7 @@
 
     pub fn client(&self) -> DuplexStream {
         let (client, io) = tokio::io::duplex(8 * 1024);
-        tokio::task::spawn_local(self.front.clone().attend(io));
+        tokio::task::spawn_local(self.front.clone().serve_connection(io));
         client
     }
 
--- a/crates/edge/tests/keyed.rs
+++ b/crates/edge/tests/keyed.rs
@@ -6,7 +6,7 @@
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::claims::{Awaited, Claims};
 use nickeljunction_edge::exchange::{Admitted, Part};
-use nickeljunction_edge::front::Keyed;
+use nickeljunction_edge::frontend::KeyedOperations;
 use nickeljunction_edge::operations::Operations;
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId, RecallAnswer, RecallCall};
@@ -60,7 +60,7 @@
         let operations = Operations::new(Ipv4Addr::LOCALHOST, life, 60_000.0);
         let operations = Rc::new(RefCell::new(operations));
         self.gateways.borrow_mut().insert(life, operations.clone());
-        world.front.claim_by(Keyed::new(world.wheel.clone(), operations, self.clone()));
+        world.front.set_keyed_operations(KeyedOperations::new(world.wheel.clone(), operations, self.clone()));
         world
     }
 
@@ -407,7 +407,7 @@
         assert_eq!(answered(&mut stale).await.0, 503);
         a.desk.stale.set(None);
         let mut leaving = begin(&a, &try_of("2", "k2")).await;
-        a.lifecycle.leave(Shutdown::begin(a.wheel.now(), 0.0, 0.0));
+        a.lifecycle.begin_shutdown(Shutdown::begin(a.wheel.now(), 0.0, 0.0));
         core.go_on.notify_one();
         assert_eq!(answered(&mut leaving).await.0, 503);
         a.dispatched(&[]).await;
--- a/crates/edge/tests/leaving.rs
+++ b/crates/edge/tests/leaving.rs
@@ -24,7 +24,7 @@
         let sent = [get("/i/", "1"), get("/i/", "2"), post("/n/", "3", ""), get("/i/", "4")].concat();
         send(&mut client, &sent).await;
         world.dispatched(&["1", "2"]).await;
-        world.lifecycle.leave(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
+        world.lifecycle.begin_shutdown(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
         world.serve("2");
         world.serve("1");
         let first = read(&mut client).await.0;
@@ -32,7 +32,7 @@
         let text = rest(&mut client).await;
         assert!(text.contains("Connection: close\r\n") && text.ends_with("body of 2"), "{text}");
         drop(client);
-        world.lifecycle.empty().await;
+        world.lifecycle.all_closed().await;
         assert!(world.proxy.ids().is_empty(), "taken behind a closing answer: {:?}", world.proxy.ids());
         // One that comes now is served once.
         let mut late = world.client();
@@ -42,7 +42,7 @@
         assert!(rest(&mut late).await.contains("Connection: close\r\n"));
         assert!(world.proxy.ids().is_empty());
         // One that stays idle is closed.
-        world.lifecycle.set_idle_grace(1.0);
+        world.lifecycle.set_idle_grace_ms(1.0);
         assert_eq!(rest(&mut world.client()).await, "");
     });
 }
@@ -56,7 +56,7 @@
         send(&mut early, "POST /n/ HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 0\r\nContent-Length: 2\r\n\r\na")
             .await;
         settle().await;
-        world.lifecycle.leave(Shutdown::begin(world.wheel.now(), 0.0, 0.0));
+        world.lifecycle.begin_shutdown(Shutdown::begin(world.wheel.now(), 0.0, 0.0));
         send(&mut early, "b").await;
         let text = rest(&mut early).await;
         assert!(refused(&text), "{text}");
@@ -69,7 +69,7 @@
         assert_eq!(world.proxy.ids(), [""; 0]);
         assert!(world.desk.asked.borrow().is_empty(), "units were taken for what can't be sent");
         let counts = world.front.counts();
-        assert_eq!((counts.too_late.get(), counts.refused.get()), (4, 4));
+        assert_eq!((counts.refused_at_shutdown.get(), counts.refused.get()), (4, 4));
     });
 }
 
@@ -78,7 +78,7 @@
     run(async {
         let world = World::new("");
         let shutdown = Shutdown::begin(world.wheel.now(), 0.0, 1_800.0);
-        world.lifecycle.leave(shutdown);
+        world.lifecycle.begin_shutdown(shutdown);
         let mut client = world.client();
         send(&mut client, &get("/i/", "1")).await;
         world.dispatched(&["1"]).await;
@@ -94,16 +94,16 @@
         let mut client = world.client();
         send(&mut client, &[get("/i/", "1"), get("/i/", "2")].concat()).await;
         world.dispatched(&["1", "2"]).await;
-        world.lifecycle.leave(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
+        world.lifecycle.begin_shutdown(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
         world.serve("2");
         settle().await;
-        world.lifecycle.end();
+        world.lifecycle.fail_unanswered();
         let (first, _) = read(&mut client).await;
         assert!(first.starts_with("HTTP/1.1 504 ") && first.contains("X-Attempt-Id: 1\r\n"), "{first}");
         let second = rest(&mut client).await;
         assert!(second.starts_with("HTTP/1.1 200 ") && second.ends_with("body of 2"), "{second}");
         drop(client);
-        world.lifecycle.empty().await;
+        world.lifecycle.all_closed().await;
         assert_eq!(world.front.counts().cut_by_end.get(), 1);
     });
 }
@@ -122,7 +122,7 @@
         }
         settle().await;
         assert_eq!(world.desk.ebb.standings()[0].waiting, 64);
-        world.lifecycle.leave(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
+        world.lifecycle.begin_shutdown(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
         world.desk.ebb.leave();
         settle().await;
         assert_eq!((world.desk.ebb.standings()[0].waiting, world.proxy.ids().len()), (0, 64));
--- a/crates/edge/tests/link_world/mod.rs
+++ b/crates/edge/tests/link_world/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway's link to a core and to fellow gateways whose answers are scripted.
 
-use nickeljunction_edge::link::{Link, Own};
-use nickeljunction_edge::proxy::{Proxy, Tuning};
+use nickeljunction_edge::core_client::{CoreClient, GatewayIdentity};
+use nickeljunction_edge::proxy::{Proxy, ProxyTuning};
 use nickeljunction_edge::table::{Swap, Table};
 use nickeljunction_edge::upstream::Place;
 use nickeljunction_net::budget::Budget;
@@ -20,21 +20,21 @@
 }
 
 /// A gateway whose core and whose fellow gateways are at this port of the loopback address.
-pub fn link(wheel: &Wheel, inner_port: u16) -> Rc<Link> {
+pub fn link(wheel: &Wheel, inner_port: u16) -> Rc<CoreClient> {
     let place = Place { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
-    let proxy = Proxy::new(wheel.clone(), Budget::new(64), place.clone(), 1, Tuning::default());
-    let own = Own {
+    let proxy = Proxy::new(wheel.clone(), Budget::new(64), place.clone(), 1, ProxyTuning::default());
+    let own = GatewayIdentity {
         place,
-        front: "127.0.0.1:1".into(),
+        client_address: "127.0.0.1:1".into(),
         inner_port,
-        life: 1,
+        incarnation: 1,
         bounds: Bounds::default(),
         zones: Default::default(),
-        directory: false,
+        serves_directory: false,
     };
     let table = Rc::new(Swap::new(Table::empty()));
     let seeds = vec!["127.0.0.1".into()];
-    Link::new(own, wheel.clone(), Caller::new(wheel.clone()), table, proxy, seeds, 1)
+    CoreClient::new(own, wheel.clone(), Caller::new(wheel.clone()), table, proxy, seeds, 1)
 }
 
 /// A machine that serves these resources, at its port.
--- a/crates/edge/tests/once_world/world.rs
+++ b/crates/edge/tests/once_world/world.rs
@@ -1,5 +1,5 @@
 //! Gateways, the core, servers and the ways between them, with every next step there is. The flow of a try is
-//! `edge::claiming`, its record `edge::operations`; how a run's end is recorded is as in `edge::front::keyed`.
+//! `edge::claiming`, its record `edge::operations`; how a run's end is recorded is as in `edge::frontend::keyed`.
 
 use super::core::{Answered, Core, WINDOW_MS};
 use super::{Bounds, Fault};
--- a/crates/edge/tests/pipeline.rs
+++ b/crates/edge/tests/pipeline.rs
@@ -6,7 +6,7 @@
 use nickeljunction_edge::exchange::{
     Admission, Admitted, Dispatch, Exchange, Part, Served, ServedBody, Stream,
 };
-use nickeljunction_edge::front::{Front, Lifecycle};
+use nickeljunction_edge::frontend::{Frontend, Lifecycle};
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_edge::table::{Swap, Table};
 use nickeljunction_http::stream::{read_answer_head, BodyReader};
@@ -53,7 +53,7 @@
 }
 
 struct World {
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     servers: Rc<Servers>,
     lifecycle: Rc<Lifecycle>,
     wheel: Wheel,
@@ -70,13 +70,13 @@
         let (servers, lifecycle) = (Rc::new(Servers::default()), Rc::new(Lifecycle::default()));
         let table = Rc::new(Swap::new(Table::of(document.config())));
         let (open, budget) = (Rc::new(Open), Budget::new(100));
-        let front = Front::new(wheel.clone(), table, open, servers.clone(), lifecycle.clone(), budget, 7);
+        let front = Frontend::new(wheel.clone(), table, open, servers.clone(), lifecycle.clone(), budget, 7);
         World { front, servers, lifecycle, wheel }
     }
 
     fn client(&self) -> DuplexStream {
         let (client, io) = tokio::io::duplex(8 * 1024);
-        tokio::task::spawn_local(self.front.clone().attend(io));
+        tokio::task::spawn_local(self.front.clone().serve_connection(io));
         client
     }
 
@@ -307,7 +307,7 @@
                     settle().await;
                 }
                 let before = if answered { world.servers.given.borrow().len() } else { 0 };
-                world.lifecycle.leave(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
+                world.lifecycle.begin_shutdown(Shutdown::begin(world.wheel.now(), 0.0, GRACE_MS));
                 settle().await;
                 // What the client still sends may find the connection closed.
                 let _ = client.write_all(&all.as_bytes()[at..]).await;
--- a/crates/edge/tests/proxy.rs
+++ b/crates/edge/tests/proxy.rs
@@ -6,8 +6,8 @@
 use nickeljunction_edge::exchange::{
     Admission, Admitted, Body, Dispatch, Exchange, Part, Served, ServedBody, Stream,
 };
-use nickeljunction_edge::figures::{Backend, Tuning};
 use nickeljunction_edge::proxy::Proxy;
+use nickeljunction_edge::proxy_types::{BackendConfig, ProxyTuning};
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_edge::upstream::Place;
 use nickeljunction_http::stream::{read_request_head, BodyReader};
@@ -85,7 +85,7 @@
     /// requests all of them have had before.
     async fn new(
         zones: &[&str],
-        tuning: Tuning,
+        tuning: ProxyTuning,
         script: impl Fn(usize, &Arrival) -> Vec<Act> + 'static,
     ) -> Rig {
         let wheel = Wheel::new(Clock::start());
@@ -107,7 +107,7 @@
         }
         let rig = Rig { proxy, wheel, arrivals, hung_up, lines };
         rig.proxy.fleet(1);
-        let backend = Backend { max_connections: 100, warmup_per_s: 0.001 };
+        let backend = BackendConfig { max_connections: 100, warmup_per_s: 0.001 };
         rig.proxy.backends(HashMap::from([("b".to_string(), backend)]));
         rig.list(&[]);
         rig
@@ -221,8 +221,8 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-fn roomy() -> Tuning {
-    Tuning { retry_slack: 1_000, ..Tuning::default() }
+fn roomy() -> ProxyTuning {
+    ProxyTuning { retry_slack: 1_000, ..ProxyTuning::default() }
 }
 
 /// Status and whole body of an answer; 0 for a failure, 1 for a refusal.
@@ -410,7 +410,7 @@
         rig.list(&[]);
         assert_eq!((told(rig.ask("b", ONCE).await), &rig.servers()[1][..]), (fine("b"), "s1"));
         let counts = rig.proxy.counts();
-        assert_eq!((counts.unconnected, counts.repeats), (1, 0), "{}", rig.proxy.note());
+        assert_eq!((counts.connect_failures, counts.further_attempts), (1, 0), "{}", rig.proxy.note());
     });
 }
 
@@ -448,7 +448,7 @@
 #[test]
 fn the_budget_bounds_further_sends_while_every_server_fails() {
     run(async {
-        let tuning = Tuning { retry_slack: 8, ..Tuning::default() };
+        let tuning = ProxyTuning { retry_slack: 8, ..ProxyTuning::default() };
         let fails = |_: usize, arrival: &Arrival| vec![Act::Say(says(500, &arrival.id, "", b"ran"))];
         let rig = Rig::new(&["n1", "n1", "n1"], tuning, fails).await;
         for turn in 0..60 {
@@ -457,7 +457,7 @@
         let (arrivals, counts) = (rig.servers().len(), rig.proxy.counts());
         assert!((61..=60 + 12).contains(&arrivals), "{arrivals}");
         assert_eq!(
-            (counts.sends + counts.repeats, counts.sends),
+            (counts.first_attempts + counts.further_attempts, counts.first_attempts),
             (arrivals as u64, 60),
             "{}",
             rig.proxy.note()
@@ -611,7 +611,7 @@
 }
 
 /// A server's work, given up for lack of time, with what `tuning` allows beside it; the client's answer once that work is done.
-async fn given_up(tuning: Tuning, leave: bool) -> (u16, String) {
+async fn given_up(tuning: ProxyTuning, leave: bool) -> (u16, String) {
     const KNOWN: usize = 20;
     let done = Rc::new(Notify::new());
     let work = done.clone();
@@ -637,7 +637,7 @@
     }
     let (exchange, mut answer) = exchange("a");
     rig.proxy.dispatch(exchange);
-    while rig.proxy.counts().turned_away + rig.proxy.counts().denied == 0 {
+    while rig.proxy.counts().rejected + rig.proxy.counts().further_attempts_denied == 0 {
         assert!(answer.try_recv().is_err(), "its first server is still at work");
         tokio::task::yield_now().await;
     }
@@ -656,7 +656,7 @@
 /// The order to leave may come in the same moment: nobody knows of it when the work is given up.
 #[test]
 fn no_work_is_broken_off_where_no_other_send_is_allowed() {
-    let tuning = Tuning { retry_ratio: 0.0, retry_slack: 0, ..roomy() };
+    let tuning = ProxyTuning { retry_ratio: 0.0, retry_slack: 0, ..roomy() };
     run(async move { assert_eq!(given_up(tuning, false).await, fine("a")) });
 }
 
@@ -674,7 +674,7 @@
         assert_eq!(told(rig.ask("after", ONCE).await), fine("after"));
         let arrivals = rig.arrivals.borrow();
         assert!(time_told(&arrivals[0]) > 9_000.0);
-        let most = GRACE_MS - 1_000.0 - roomy().margin_ms;
+        let most = GRACE_MS - 1_000.0 - roomy().deadline_margin_ms;
         assert!(time_told(&arrivals[1]) <= most, "{} of {most}", time_told(&arrivals[1]));
     });
 }
--- a/crates/edge/tests/shutdown.rs
+++ b/crates/edge/tests/shutdown.rs
@@ -5,7 +5,7 @@
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::drain::drain;
 use nickeljunction_edge::exchange::{Admission, Admitted, Dispatch, Exchange, Served, ServedBody};
-use nickeljunction_edge::front::{Front, Lifecycle};
+use nickeljunction_edge::frontend::{Frontend, Lifecycle};
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_edge::table::{Swap, Table};
 use nickeljunction_http::Headers;
@@ -111,7 +111,7 @@
 }
 
 async fn client(
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     wheel: Wheel,
     at: f64,
     (path, left_ms): (&str, f64),
@@ -120,7 +120,7 @@
 ) -> Seen {
     wheel.sleep_until(at).await;
     let (mut stream, io) = tokio::io::duplex(4_096);
-    spawn_local(front.attend(io));
+    spawn_local(front.serve_connection(io));
     let request = format!(
         "GET {path} HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {id}\r\nX-Deadline-Remaining: {left_ms}\r\n\r\n"
     );
@@ -154,7 +154,7 @@
         ordered,
         runs: Rc::default(),
     });
-    let front = Front::new(
+    let front = Frontend::new(
         wheel.clone(),
         Rc::new(Swap::new(table)),
         Rc::new(Open),
@@ -174,7 +174,7 @@
     }
     wheel.sleep_until(ordered).await;
     let shutdown = Shutdown::begin(wheel.now(), 0.0, GRACE_MS);
-    lifecycle.leave(shutdown);
+    lifecycle.begin_shutdown(shutdown);
     drain(&wheel, &lifecycle, shutdown, async {}).await;
     let ended = wheel.now() - ordered;
     let mut seen = Vec::new();
@@ -236,7 +236,7 @@
         let lifecycle = Rc::new(Lifecycle::default());
         let began = wheel.now();
         let shutdown = Shutdown::begin(began, 0.0, GRACE_MS);
-        lifecycle.leave(shutdown);
+        lifecycle.begin_shutdown(shutdown);
         let gave_back = Cell::new(f64::INFINITY);
         let give_back = async { gave_back.set(wheel.now() - began) };
         drain(&wheel, &lifecycle, shutdown, give_back).await;
--- a/crates/edge/tests/shutdown_world/mod.rs
+++ b/crates/edge/tests/shutdown_world/mod.rs
@@ -9,9 +9,9 @@
 
 use nickeljunction_edge::drain::drain;
 use nickeljunction_edge::exchange::{Admission, Admitted};
-use nickeljunction_edge::figures::{Backend, Tuning};
-use nickeljunction_edge::front::{Front, Lifecycle};
+use nickeljunction_edge::frontend::{Frontend, Lifecycle};
 use nickeljunction_edge::proxy::Proxy;
+use nickeljunction_edge::proxy_types::{BackendConfig, ProxyTuning};
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_edge::table::{Swap, Table};
 use nickeljunction_edge::upstream::Place;
@@ -110,17 +110,24 @@
     spawn_local(wheel.clone().run());
     let here = Place { name: "g".into(), zone: "n1".into(), region: "n".into() };
     let budget = Budget::new(10_000);
-    let tuning = Tuning { retry_slack: 1_000, ..Tuning::default() };
+    let tuning = ProxyTuning { retry_slack: 1_000, ..ProxyTuning::default() };
     let proxy = Proxy::new(wheel.clone(), budget.clone(), here, seed, tuning);
     spawn_local(proxy.clone().run());
     proxy.fleet(1);
-    let backend = Backend { max_connections: 500, warmup_per_s: 0.0 };
+    let backend = BackendConfig { max_connections: 500, warmup_per_s: 0.0 };
     proxy.backends(HashMap::from([("b".to_string(), backend)]));
     let table = Rc::new(Swap::new(Table::of(document(0).config())));
     let lifecycle = Rc::new(Lifecycle::default());
     let admission = Rc::new(Open);
-    let front =
-        Front::new(wheel.clone(), table.clone(), admission, proxy.clone(), lifecycle.clone(), budget, seed);
+    let front = Frontend::new(
+        wheel.clone(),
+        table.clone(),
+        admission,
+        proxy.clone(),
+        lifecycle.clone(),
+        budget,
+        seed,
+    );
     spawn_local(front.serve(listener));
     let (term, mut termed) = mpsc::unbounded_channel();
     let taker = proxy.clone();
@@ -140,7 +147,7 @@
     termed.recv().await;
     let shutdown = Shutdown::begin(wheel.now(), wheel.unseen_ms(), GRACE_MS);
     proxy.leave(shutdown);
-    lifecycle.leave(shutdown);
+    lifecycle.begin_shutdown(shutdown);
     drain(&wheel, &lifecycle, shutdown, async {}).await;
 }
 
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -3,8 +3,8 @@
 use nickeljunction_core::facade::{
     Class, DedupScope, Facade, Intake, Outcome, Report, RequestKey, RetrySafety, ServiceTable, Verdict,
 };
-use nickeljunction_edge::figures::Tuning;
 use nickeljunction_edge::preference::{order, subset_least};
+use nickeljunction_edge::proxy_types::ProxyTuning;
 use nickeljunction_edge::selection::{ready, settings, Scope};
 use nickeljunction_edge::upstream::{weight, Nearness, Place, Upstream};
 use std::cmp::Reverse;
@@ -63,7 +63,7 @@
     let weigh = |server: &Upstream| weight(server, &[], &here, &Nearness::default(), false);
     let own: Vec<&Upstream> = servers.iter().filter(|server| weigh(server).is_some()).collect();
     let least = Scope::new(shape.gateways as u32, servers.iter()).subset_least(own.iter().copied(), &here);
-    let settings = settings(&Tuning::default(), &here, vec![class], 1, least);
+    let settings = settings(&ProxyTuning::default(), &here, vec![class], 1, least);
     let mut facade = Facade::new(settings, at as u64, false).expect("good settings");
     let regions = own.iter().map(|server| ready(server, &here, weigh(server).expect("allowed"))).collect();
     facade.report(0.0, Report::Table { table: ServiceTable { rev: 1, all: true, regions }, saved: false });
--- a/crates/edge/tests/stories.rs
+++ b/crates/edge/tests/stories.rs
@@ -5,8 +5,8 @@
 use nickeljunction_core::facade::RetrySafety;
 use nickeljunction_core::life::Answer;
 use nickeljunction_edge::exchange::{Body, Dispatch, Exchange, Served, ServedBody};
-use nickeljunction_edge::figures::{Backend, Tuning};
 use nickeljunction_edge::proxy::Proxy;
+use nickeljunction_edge::proxy_types::{BackendConfig, ProxyTuning};
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_edge::upstream::Place;
 use nickeljunction_http::stream::read_request_head;
@@ -218,7 +218,7 @@
     let draws = RefCell::new(fastrand::Rng::with_seed(seed));
     let book = Rc::new(Book { wheel: wheel.clone(), draws, lines: RefCell::default() });
     let here = Place { name: "g1".into(), zone: "n1".into(), region: "n".into() };
-    let tuning = Tuning { retry_slack: 1_000, ..Tuning::default() };
+    let tuning = ProxyTuning { retry_slack: 1_000, ..ProxyTuning::default() };
     let proxy = Proxy::new(wheel.clone(), Budget::new(200), here, seed, tuning);
     let (mut tasks, mut lines) = (JoinSet::new(), Vec::new());
     tasks.spawn_local(proxy.clone().run());
@@ -243,7 +243,10 @@
         });
     }
     proxy.fleet(1);
-    proxy.backends(HashMap::from([("b".to_string(), Backend { max_connections: 100, warmup_per_s: 0.0 })]));
+    proxy.backends(HashMap::from([(
+        "b".to_string(),
+        BackendConfig { max_connections: 100, warmup_per_s: 0.0 },
+    )]));
     proxy.servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
     let mut draws = fastrand::Rng::with_seed(!seed);
     let leaves_at = if draws.bool() { draws.f64() * 400.0 } else { f64::INFINITY };
--- a/crates/edge/tests/units.rs
+++ b/crates/edge/tests/units.rs
@@ -73,8 +73,8 @@
     let far = Rc::new(Far { wheel: wheel.clone(), counter: RefCell::new(counter), way_ms: Cell::new(1.0) });
     let port = serve(&wheel, &[(path::WATCH, watch), (path::UNITS, far.clone())]).await;
     let link = link(&wheel, port);
-    spawn_local(link.clone().watch());
-    spawn_local(link.clone().count());
+    spawn_local(link.clone().run_watch());
+    spawn_local(link.clone().run_quota_sync());
     wheel.sleep(1_000.0).await;
     far.way_ms.set(way_ms);
     let first = link.clone();
--- a/crates/edge/tests/watch.rs
+++ b/crates/edge/tests/watch.rs
@@ -1,6 +1,6 @@
 //! Which watch calls are under way, step by step on a clock of the test's own.
 
-use nickeljunction_edge::watch::{Call, Ended, Step, Watcher, DOUBT_MS, GIVE_UP_MS, HOLD_MS};
+use nickeljunction_edge::watch::{Call, CallAction, CallOutcome, Watcher, GIVE_UP_MS, HOLD_MS, OVERDUE_MS};
 
 const HOLD: f64 = HOLD_MS as f64;
 
@@ -9,8 +9,8 @@
     let (mut asked, mut dropped) = (Vec::new(), Vec::new());
     for step in watcher.poll(now, 0.0) {
         match step {
-            Step::Ask(call) => asked.push(call),
-            Step::HangUp(call) => dropped.push(call),
+            CallAction::Start(call) => asked.push(call),
+            CallAction::Cancel(call) => dropped.push(call),
         }
     }
     assert!(watcher.next_wake() > now, "it would be polled without end");
@@ -23,7 +23,7 @@
     let (asked, _) = polled(&mut watcher, 0.0);
     let hosts: Vec<&str> = asked.iter().map(|call| call.host.as_str()).collect();
     assert_eq!(hosts, ["a", "b"], "all are asked at once");
-    watcher.ended(0.0, asked[0].id, Ended::Answered, 0.5);
+    watcher.call_ended(0.0, asked[0].id, CallOutcome::Answered, 0.5);
     let (held, dropped) = polled(&mut watcher, 0.0);
     assert_eq!((held.len(), held[0].hold_ms, &dropped), (1, HOLD_MS, &asked[1..].to_vec()));
     (watcher, held[0].clone())
@@ -32,12 +32,12 @@
 #[test]
 fn a_slow_answer_is_waited_for_while_others_are_asked() {
     let (mut watcher, held) = following();
-    let doubt = HOLD + DOUBT_MS;
+    let doubt = HOLD + OVERDUE_MS;
     assert_eq!(polled(&mut watcher, doubt - 1.0), (Vec::new(), Vec::new()));
     let (asked, dropped) = polled(&mut watcher, doubt);
     assert_eq!((asked.len(), dropped.len()), (2, 0), "both are asked, and the slow one is left");
     assert_eq!(watcher.leader(), Some("a"), "silence is no proof");
-    watcher.ended(doubt + 50.0, held.id, Ended::Answered, 0.5);
+    watcher.call_ended(doubt + 50.0, held.id, CallOutcome::Answered, 0.5);
     let (again, dropped) = polled(&mut watcher, doubt + 50.0);
     assert_eq!(
         (again.len(), again[0].hold_ms, dropped),
@@ -65,12 +65,12 @@
 #[test]
 fn what_is_to_be_said_is_said_beside_the_held_call_and_once_at_a_time() {
     let (mut watcher, held) = following();
-    watcher.recall();
+    watcher.query_leader_now();
     let (asked, dropped) = polled(&mut watcher, 100.0);
     assert_eq!((asked.len(), asked[0].hold_ms, dropped.len()), (1, 0, 0));
-    watcher.recall();
+    watcher.query_leader_now();
     assert_eq!(polled(&mut watcher, 110.0), (Vec::new(), Vec::new()), "one is under way");
-    watcher.ended(120.0, asked[0].id, Ended::Answered, 0.5);
+    watcher.call_ended(120.0, asked[0].id, CallOutcome::Answered, 0.5);
     let (next, dropped) = polled(&mut watcher, 120.0);
     assert_eq!(
         (next.len(), next[0].hold_ms, dropped.len()),
@@ -82,27 +82,27 @@
 #[test]
 fn a_gateway_that_is_behind_asks_where_the_held_call_brings_nothing() {
     let (mut watcher, held) = following();
-    watcher.behind(100.0);
+    watcher.newer_version_seen(100.0);
     assert_eq!(polled(&mut watcher, 150.0), (Vec::new(), Vec::new()), "it is on its way");
-    assert_eq!(watcher.next_wake(), 100.0 + DOUBT_MS);
-    let (asked, _) = polled(&mut watcher, 100.0 + DOUBT_MS);
+    assert_eq!(watcher.next_wake(), 100.0 + OVERDUE_MS);
+    let (asked, _) = polled(&mut watcher, 100.0 + OVERDUE_MS);
     assert_eq!((asked.len(), asked[0].host.as_str(), asked[0].hold_ms), (1, "a", 0));
     // Where it has come, nothing is asked.
     let (mut watcher, held_again) = following();
-    watcher.behind(100.0);
-    watcher.ended(130.0, held_again.id, Ended::Answered, 0.5);
+    watcher.newer_version_seen(100.0);
+    watcher.call_ended(130.0, held_again.id, CallOutcome::Answered, 0.5);
     assert_eq!(polled(&mut watcher, 130.0).0.len(), 1, "the next one to be held, after {held:?}");
-    assert_eq!(polled(&mut watcher, 100.0 + DOUBT_MS), (Vec::new(), Vec::new()));
+    assert_eq!(polled(&mut watcher, 100.0 + OVERDUE_MS), (Vec::new(), Vec::new()));
 }
 
 #[test]
 fn who_says_that_it_leads_no_more_is_left_at_once_for_whom_it_names() {
     let (mut watcher, held) = following();
-    watcher.ended(200.0, held.id, Ended::Elsewhere(Some("c".into())), 0.5);
+    watcher.call_ended(200.0, held.id, CallOutcome::NotLeader(Some("c".into())), 0.5);
     assert_eq!(watcher.leader(), None);
     let (asked, _) = polled(&mut watcher, 200.0);
     let hosts: Vec<&str> = asked.iter().map(|call| call.host.as_str()).collect();
     assert_eq!(hosts, ["b", "c"], "the one that sent it on after a pause");
-    watcher.ended(210.0, asked[1].id, Ended::Answered, 0.5);
+    watcher.call_ended(210.0, asked[1].id, CallOutcome::Answered, 0.5);
     assert_eq!(watcher.leader(), Some("c"));
 }
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -1,9 +1,9 @@
-//! A gateway: the real copy, lease, allowance and watcher, driven by the thin rules of `edge::link::Link`, which are modelled here,
+//! A gateway: the real copy, lease, allowance and watcher, driven by the thin rules of `edge::core_client::CoreClient`, which are modelled here,
 //! with the connections that its calls go over.
 
 use crate::{node_of, Answer, Fact, Node, Out, Packet, Question, TENANT, WINDOW_MS};
 use nickeljunction_edge::lease::Lease;
-use nickeljunction_edge::watch::{Call, Ended, Step, Watcher, CONNECT_MS};
+use nickeljunction_edge::watch::{Call, CallAction, CallOutcome, Watcher, CONNECT_TIMEOUT_MS};
 use nickeljunction_messages::{Caller, GatewayInfo, WatchAnswer, WatchCall};
 use nickeljunction_pacing::Throttle;
 use nickeljunction_quota::{Allowance, Spend};
@@ -14,7 +14,7 @@
 
 /// `Caller` keeps so many idle connections to a host.
 const MOST_IDLE: usize = 3;
-// The figures of `edge::link`.
+// The figures of `edge::core_client`.
 const UNITS_MS: u64 = 300;
 const WAIT_MS: u64 = 220;
 
@@ -126,11 +126,11 @@
     fn watch(&mut self, now: u64, out: &mut Out) {
         let late: Vec<u64> =
             self.watching.iter().filter(|one| one.open_until() <= now).map(|one| one.call.id).collect();
-        late.into_iter().for_each(|id| self.ended(now, id, Ended::Failed));
+        late.into_iter().for_each(|id| self.ended(now, id, CallOutcome::Failed));
         for step in self.watcher.poll(now as f64, self.lease.age(now as f64)) {
             match step {
-                Step::Ask(call) => self.ask(now, call, out),
-                Step::HangUp(call) => {
+                CallAction::Start(call) => self.ask(now, call, out),
+                CallAction::Cancel(call) => {
                     let Some(at) = self.watching.iter().position(|one| one.call.id == call.id) else {
                         continue;
                     };
@@ -144,7 +144,7 @@
     /// `Link::asked`, over a kept connection or a new one.
     fn ask(&mut self, now: u64, call: Call, out: &mut Out) {
         let Some(to) = node_of(&call.host) else {
-            return self.watcher.ended(now as f64, call.id, Ended::Failed, 0.5);
+            return self.watcher.call_ended(now as f64, call.id, CallOutcome::Failed, 0.5);
         };
         let name = format!("g{}", self.node);
         let zone = if self.node.is_multiple_of(2) { "z1" } else { "z2" };
@@ -159,7 +159,7 @@
                 out.posts.push((to, Packet::Ask(self.node, id, Question::Watch(ask))));
             }
             None => {
-                watching.unsent = Some((ask, now + CONNECT_MS as u64));
+                watching.unsent = Some((ask, now + CONNECT_TIMEOUT_MS as u64));
                 out.posts.push((to, Packet::Open(self.node, id)));
             }
         }
@@ -174,41 +174,41 @@
     }
 
     /// A watch call has ended.
-    fn ended(&mut self, now: u64, id: u64, how: Ended) {
+    fn ended(&mut self, now: u64, id: u64, how: CallOutcome) {
         let Some(at) = self.watching.iter().position(|one| one.call.id == id) else { return };
         let one = self.watching.remove(at);
         match how {
             // Nobody listens there, or the connections are gone with who did.
-            Ended::Failed | Ended::Elsewhere(None) => drop(self.idle.remove(&one.to)),
+            CallOutcome::Failed | CallOutcome::NotLeader(None) => drop(self.idle.remove(&one.to)),
             _ => {
                 let idle = self.idle.entry(one.to).or_default();
                 *idle = (*idle + 1).min(MOST_IDLE);
             }
         }
         let luck = self.rng.f64();
-        self.watcher.ended(now as f64, id, how, luck);
+        self.watcher.call_ended(now as f64, id, how, luck);
     }
 
     /// An answer to a watch call.
     fn told(&mut self, now: u64, id: u64, sent: u64, answer: Answer, out: &mut Out) {
         let how = match answer {
             Answer::Watch(answer) => self.learn(now, sent, *answer, out),
-            Answer::Elsewhere(leader) => Ended::Elsewhere(leader),
-            _ => Ended::Failed,
+            Answer::Elsewhere(leader) => CallOutcome::NotLeader(leader),
+            _ => CallOutcome::Failed,
         };
         self.ended(now, id, how);
     }
 
     /// `Link::learn`.
-    fn learn(&mut self, now: u64, sent: u64, answer: WatchAnswer, out: &mut Out) -> Ended {
+    fn learn(&mut self, now: u64, sent: u64, answer: WatchAnswer, out: &mut Out) -> CallOutcome {
         let (age, ready) = (answer.quorum_age_ms as f64, self.ready(now));
         let applied = match self.copy.apply(answer) {
             Ok(applied) => applied,
             // The next call is answered by a difference to what is held by now, or by the whole.
             Err(ApplyError::StaleSeq(..) | ApplyError::BaseMismatch(..) | ApplyError::DigestMismatch(..)) => {
-                return Ended::Overtaken
+                return CallOutcome::Superseded
             }
-            Err(_) => return Ended::Failed,
+            Err(_) => return CallOutcome::Failed,
         };
         self.lease.answered(sent as f64, age);
         let catalog = self.copy.catalog();
@@ -228,14 +228,14 @@
             out.facts.push(Fact::Tide { life: self.life, tenant, step, stage, holds: now + line.in_ms });
         }
         if applied.core {
-            self.watcher.known(&catalog.core_hosts);
+            self.watcher.set_core_hosts(&catalog.core_hosts);
         }
         if !ready && self.ready(now) {
-            self.watcher.recall();
+            self.watcher.query_leader_now();
         }
         let at = now - self.lease.age(now as f64).min(now as f64) as u64;
         out.facts.push(Fact::Knows { life: self.life, version: catalog.version(), at });
-        Ended::Answered
+        CallOutcome::Answered
     }
 
     /// `Link::count` and `Link::add`.
@@ -243,7 +243,7 @@
         if let Some(flight) = self.units.filter(|flight| now >= flight.until) {
             self.units = None;
             out.posts.push((flight.to, Packet::Ask(self.node, flight.call, Question::HangUp)));
-            self.watcher.recall();
+            self.watcher.query_leader_now();
             self.allowance.failed(now);
             self.serve_waiting(now);
         }
@@ -276,12 +276,12 @@
                 Answer::Units(answer) => {
                     // There is a newer one, and the held call has not brought it.
                     if answer.version > self.version() {
-                        self.watcher.behind(now as f64);
+                        self.watcher.newer_version_seen(now as f64);
                     }
                     self.allowance.answered(now, &answer);
                 }
                 _ => {
-                    self.watcher.recall();
+                    self.watcher.query_leader_now();
                     self.allowance.failed(now);
                 }
             }
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -57,7 +57,7 @@
         for node in 0..self.members.len() {
             self.at_member(node, |one, now, out| one.seek(now, &seeds, out));
         }
-        self.gateways.iter_mut().for_each(|gateway| gateway.watcher.seeds(seeds.clone()));
+        self.gateways.iter_mut().for_each(|gateway| gateway.watcher.set_seeds(seeds.clone()));
         self.seeds = seeds;
     }
 
