--- a/crates/edge/src/cli.rs
+++ b/crates/edge/src/cli.rs
@@ -1,20 +1,20 @@
 //! The command line.
 
-// The macro documents flags, not the items that it makes.
+// The macro documents the flags, but not the items that it generates.
 #![allow(missing_docs)]
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// The gateway of nickeljunction's edge machines: takes clients' requests and sends them to servers.
+    /// The gateway of nickeljunction's edge machines: accepts clients' requests and forwards them to servers.
     cmd edge {
-        /// Settings file (TOML); without it the one that NICKELJUNCTION_SETTINGS names.
+        /// Settings file (TOML); default: the file named by NICKELJUNCTION_SETTINGS.
         optional --settings path: PathBuf
-        /// error, warn, info, debug, trace or off; info without it.
+        /// error, warn, info, debug, trace or off; default: info.
         optional --log-level level: String
-        /// Reads and checks the settings, names what is wrong, and ends.
+        /// Checks the settings, reports any errors, and exits.
         optional --check
-        /// IP:PORT, or a PORT of this machine, where figures are to be had (GET /metrics); without it, nowhere.
+        /// IP:PORT, or PORT on this machine, to serve metrics at (GET /metrics); default: not served.
         optional --figures address: String
     }
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway on edge machines: clients on one side, servers on the other, the core's knowledge between them.
+//! The gateway on edge machines: proxies clients' requests to servers, by the configuration that the core distributes.
 
 mod attempt;
 pub mod beyond;
--- a/crates/edge/src/proxy_types.rs
+++ b/crates/edge/src/proxy_types.rs
@@ -1,33 +1,33 @@
-//! Figures of the servers' side: what it is tuned by, and what it counts.
+//! The proxy's tuning, its settings for each backend, and its counters.
 
 use crate::upstream::Nearness;
 use nickeljunction_core::facade::Outcome;
 use std::fmt;
 
-/// Figures of the servers' side.
+/// Tuning of the proxy to servers.
 #[derive(Debug, Clone)]
 pub struct ProxyTuning {
-    /// The rule's window of further sends, ms.
+    /// Window over which further attempts are limited, ms.
     pub retry_window_ms: u64,
-    /// Further sends for each request, over all gateways.
+    /// Further attempts allowed per request, over all gateways.
     pub retry_ratio: f64,
-    /// Further sends beyond that in a window, over all gateways.
+    /// Further attempts allowed beyond that ratio in a window, over all gateways.
     pub retry_slack: u32,
-    /// How dear a slot is by where it stands.
+    /// Weight of a server's slot by its distance: same zone, same region or another region.
     pub nearness: Nearness,
-    /// How long a connection within the region may take to come up, ms, and to another region.
+    /// Time-out for connecting to a server in the same region, ms.
     pub connect_timeout_ms: f64,
-    /// See `connect_timeout_ms`.
+    /// Time-out for connecting to a server in another region, ms.
     pub cross_region_connect_timeout_ms: f64,
-    /// Servers are told that they have so much less time than there is, ms.
+    /// How much earlier than the real deadline the one sent to servers is, ms.
     pub deadline_margin_ms: f64,
-    /// The module's step, ms: its rounds are some of these apart while requests are under way.
+    /// Time step of the decision module, ms: while requests are in flight its rounds are whole numbers of steps apart.
     pub decide_step_ms: f64,
-    /// Rounds of all lanes begin at multiples of this, ms, so that one wake-up serves them all.
+    /// Rounds of all lanes begin at multiples of this, ms, so that one wake-up serves all lanes.
     pub round_grid_ms: f64,
-    /// Longest advice to stay away, ms.
+    /// Longest pause that a client is asked to make before it retries, ms.
     pub max_retry_after_ms: f64,
-    /// A second attempt may go out beside the first.
+    /// Whether a second attempt may start while the first is in flight.
     pub hedging: bool,
 }
 
@@ -49,41 +49,41 @@
     }
 }
 
-/// What the configuration says of a service.
+/// A backend's settings from the configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackendConfig {
-    /// Connections that each of its servers accepts from all callers together; 0: not told.
+    /// Connections that each of its servers accepts from all callers together; 0: not configured.
     pub max_connections: u32,
-    /// Requests a second that a cold server of it bears.
+    /// Requests per second that one of its servers can take while it is cold.
     pub warmup_per_s: f64,
 }
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProxyCounts {
-    /// Requests taken in.
+    /// Requests received.
     pub requests: u64,
-    /// First sends of a request, begun anew where no connection came about.
+    /// First attempts of requests, each counted again after a failure to connect.
     pub first_attempts: u64,
-    /// Further sends.
+    /// Attempts beyond the first of a request.
     pub further_attempts: u64,
-    /// Further sends that the budget didn't allow.
+    /// Further attempts that the budget didn't allow.
     pub further_attempts_denied: u64,
-    /// Sends answered well.
+    /// Attempts answered successfully.
     pub served: u64,
-    /// Sends answered with a failure.
+    /// Attempts answered with a failure.
     pub errors: u64,
-    /// Sends turned away.
+    /// Attempts that the server rejected.
     pub rejected: u64,
-    /// Connections that did not come about.
+    /// Attempts whose connection could not be established.
     pub connect_failures: u64,
-    /// Connections that broke before an answer.
+    /// Attempts whose connection broke before an answer.
     pub resets: u64,
-    /// Answers that could not be used.
+    /// Attempts whose answer was not usable.
     pub invalid_answers: u64,
-    /// Sends given up for lack of time.
+    /// Attempts given up for lack of time.
     pub timed_out: u64,
-    /// Sends given up since the client had gone, or another one was answered.
+    /// Attempts cancelled because the client had disconnected or another attempt was answered.
     pub cancelled: u64,
     /// Connections opened.
     pub connections_opened: u64,
@@ -104,10 +104,8 @@
         };
         *count += 1;
     }
-}
 
-impl ProxyCounts {
-    /// Sends by how they ended.
+    /// Attempts by outcome, under the names of the metric's labels.
     pub(crate) fn outcomes(&self) -> [(&'static str, u64); 8] {
         [
             ("served", self.served),
--- a/crates/edge/src/reply.rs
+++ b/crates/edge/src/reply.rs
@@ -1,52 +1,52 @@
-//! Answers to clients as bytes: a server's, passed on unchanged, or the gateway's own.
+//! Writes answers to clients: a server's, forwarded unchanged, or one made by the gateway itself.
 
 use crate::exchange::{Served, ServedBody};
 use bytes::{BufMut, Bytes, BytesMut};
 use nickeljunction_http::stream::{put_line, put_status};
 use std::fmt::Write;
 
-/// Shortest pause that is told, ms: clients that come back sooner find nothing changed.
-const LEAST_PAUSE_MS: f64 = 50.0;
-/// Pause that is told where the core doesn't know one, ms: about what a queue of a server takes to move.
-const USUAL_PAUSE_MS: f64 = 100.0;
+/// Shortest pause in `Retry-After`, ms: a client that retries sooner gets the same answer again.
+const MIN_RETRY_AFTER_MS: f64 = 50.0;
+/// Pause in `Retry-After` where none is known, ms: about the time in which a server's queue moves on.
+const DEFAULT_RETRY_AFTER_MS: f64 = 100.0;
 
 /// The final answer to a request.
 pub enum Reply {
-    /// A server's.
+    /// A server's answer.
     Served(Served),
-    /// The gateway's own.
+    /// An answer made by the gateway.
     Local(LocalReply),
 }
 
-/// An answer of the gateway itself.
+/// An answer made by the gateway.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalReply {
-    /// Status. 408, 421, 429 and 503 promise that the request has not run and never will.
+    /// Status code. 408, 421, 429 and 503 promise that the request has not been executed and never will be.
     pub status: u16,
-    /// The step at which the request ended; plain words without quotes.
+    /// What failed, for the body; must not contain quotes.
     pub error: &'static str,
-    /// The client may come back after so many ms.
+    /// How long the client should wait before a retry, ms.
     pub retry_after_ms: Option<f64>,
 }
 
 impl LocalReply {
-    /// An answer that promises nothing.
+    /// An answer without `Retry-After`.
     pub fn new(status: u16, error: &'static str) -> LocalReply {
         LocalReply { status, error, retry_after_ms: None }
     }
 
-    /// The request has not run and will not; the client may come back after so many ms (0: not known).
+    /// The request has not been executed and won't be; the client may retry after this pause (0: not known).
     pub fn refusal(status: u16, error: &'static str, pause_ms: f64) -> LocalReply {
         let known = pause_ms.is_finite() && pause_ms > 0.0;
-        let pause_ms = if known { pause_ms.max(LEAST_PAUSE_MS) } else { USUAL_PAUSE_MS };
+        let pause_ms = if known { pause_ms.max(MIN_RETRY_AFTER_MS) } else { DEFAULT_RETRY_AFTER_MS };
         LocalReply { status, error, retry_after_ms: Some(pause_ms) }
     }
 }
 
-/// What an answer must respect of the connection and the request.
+/// The properties of the connection and the request that an answer depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplyContext {
-    /// The connection ends with this answer.
+    /// The connection is closed after this answer.
     pub close: bool,
     /// The client's minor version of HTTP/1.
     pub http_minor: u8,
@@ -56,86 +56,92 @@
     pub idle_timeout_ms: f64,
 }
 
-/// What follows the head of a server's answer.
+/// The body to send after the head of a server's answer.
 pub enum ReplyBody {
-    /// Nothing.
+    /// No body.
     Empty,
-    /// These bytes.
+    /// A complete body.
     Whole(Bytes),
-    /// A body that still comes, of so many bytes, or in chunks.
+    /// A body that is still being received, with its length or in chunks.
     Streamed(crate::exchange::Stream),
 }
 
-fn put_connection(to: &mut BytesMut, hop: &ReplyContext) {
-    if hop.close {
-        return put_line(to, "Connection", b"close");
+fn put_connection(out: &mut BytesMut, context: &ReplyContext) {
+    if context.close {
+        return put_line(out, "Connection", b"close");
     }
-    if hop.http_minor == 0 {
-        put_line(to, "Connection", b"keep-alive");
+    if context.http_minor == 0 {
+        put_line(out, "Connection", b"keep-alive");
     }
-    // A second less than the truth: a request sent at the last moment must not meet the end of the connection.
-    let seconds = (hop.idle_timeout_ms / 1_000.0 - 1.0).floor();
+    // One second less than the real time-out: a request sent at the last moment must not find the connection closed.
+    let seconds = (context.idle_timeout_ms / 1_000.0 - 1.0).floor();
     if seconds >= 1.0 {
-        let _ = write!(to, "Keep-Alive: timeout={seconds}\r\n");
+        let _ = write!(out, "Keep-Alive: timeout={seconds}\r\n");
     }
 }
 
-/// Writes an answer of the gateway itself, body and all.
-pub fn put_local_reply(to: &mut BytesMut, own: &LocalReply, attempt_id: Option<&str>, hop: &ReplyContext) {
-    let body = format!("{{\"error\":\"{}\"}}", own.error);
-    to.reserve(256 + body.len());
-    put_status(to, own.status);
+/// Writes an answer made by the gateway, head and body.
+pub fn put_local_reply(
+    out: &mut BytesMut,
+    reply: &LocalReply,
+    attempt_id: Option<&str>,
+    context: &ReplyContext,
+) {
+    let body = format!("{{\"error\":\"{}\"}}", reply.error);
+    out.reserve(256 + body.len());
+    put_status(out, reply.status);
     if let Some(id) = attempt_id {
-        put_line(to, "X-Attempt-Id", id.as_bytes());
+        put_line(out, "X-Attempt-Id", id.as_bytes());
     }
-    if let Some(pause) = own.retry_after_ms {
-        // Rounded up: back a hair too early is refused again.
-        let _ = write!(to, "Retry-After: {:.3}\r\n", (pause.ceil()) / 1_000.0);
+    if let Some(pause) = reply.retry_after_ms {
+        // Rounded up: a client that retries slightly too early is refused again.
+        let _ = write!(out, "Retry-After: {:.3}\r\n", pause.ceil() / 1_000.0);
     }
-    put_connection(to, hop);
-    let _ = write!(to, "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n", body.len());
-    if !hop.is_head {
-        to.put_slice(body.as_bytes());
+    put_connection(out, context);
+    let _ = write!(out, "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n", body.len());
+    if !context.is_head {
+        out.put_slice(body.as_bytes());
     }
 }
 
-/// Writes the head of a server's answer and gives what follows it. Status, end-to-end lines and body stay as they are.
+/// Writes the head of a server's answer and returns its body. Status, end-to-end header lines and body stay unchanged.
 ///
 /// # Errors
-/// Nothing was written, for the client's old version has no way to tell where such a body ends from where it broke.
+/// Writes nothing if the body has no known length and the client speaks HTTP/1.0: it couldn't tell a complete body from a
+/// truncated one.
 pub fn put_served_reply(
-    to: &mut BytesMut,
+    out: &mut BytesMut,
     served: Served,
-    hop: &ReplyContext,
+    context: &ReplyContext,
 ) -> Result<ReplyBody, LocalReply> {
     let Served { status, headers, body } = served;
-    let bodiless = hop.is_head || matches!(status, 204 | 304);
-    if let (false, 0, ServedBody::Streamed(stream)) = (bodiless, hop.http_minor, &body) {
+    let no_body = context.is_head || matches!(status, 204 | 304);
+    if let (false, 0, ServedBody::Streamed(stream)) = (no_body, context.http_minor, &body) {
         if stream.length.is_none() {
             return Err(LocalReply::new(502, "answer of unknown length for HTTP/1.0"));
         }
     }
-    to.reserve(512);
-    put_status(to, status);
+    out.reserve(512);
+    put_status(out, status);
     for (name, value) in headers.passed_on() {
-        put_line(to, name, value);
+        put_line(out, name, value);
     }
-    put_connection(to, hop);
+    put_connection(out, context);
     let length = match &body {
-        // What the body would have been, in the server's own words.
-        _ if hop.is_head => headers.get("content-length").map(str::to_string),
-        _ if bodiless => None,
+        // The length that the server stated for the body that a GET would have.
+        _ if context.is_head => headers.get("content-length").map(str::to_string),
+        _ if no_body => None,
         ServedBody::Whole(bytes) => Some(bytes.len().to_string()),
         ServedBody::Streamed(stream) => stream.length.map(|length| length.to_string()),
     };
     match length {
-        Some(length) => put_line(to, "Content-Length", length.as_bytes()),
-        None if !bodiless => put_line(to, "Transfer-Encoding", b"chunked"),
+        Some(length) => put_line(out, "Content-Length", length.as_bytes()),
+        None if !no_body => put_line(out, "Transfer-Encoding", b"chunked"),
         None => {}
     }
-    to.put_slice(b"\r\n");
+    out.put_slice(b"\r\n");
     Ok(match body {
-        _ if bodiless => ReplyBody::Empty,
+        _ if no_body => ReplyBody::Empty,
         ServedBody::Whole(bytes) => ReplyBody::Whole(bytes),
         ServedBody::Streamed(stream) => ReplyBody::Streamed(stream),
     })
--- a/crates/edge/src/wake_timer.rs
+++ b/crates/edge/src/wake_timer.rs
@@ -1,43 +1,42 @@
-//! When a task that makes calls is to look again, as others bring that moment forward.
+//! A timer for a task that makes calls: other tasks can bring its next wake-up forward.
 
 use nickeljunction_net::wheel::Wheel;
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Longest sleep, ms.
-const LONGEST_MS: f64 = 60_000.0;
+const LONGEST_SLEEP_MS: f64 = 60_000.0;
 
-/// See the module.
+/// The next wake-up of one task.
 pub struct WakeTimer {
-    /// What the task sleeps until, ms by the wheel's clock.
-    set_for: Cell<f64>,
+    /// When the task wakes up, ms by the wheel's clock.
+    wakes_at: Cell<f64>,
     earlier: Notify,
 }
 
 impl Default for WakeTimer {
     fn default() -> WakeTimer {
-        WakeTimer { set_for: Cell::new(f64::INFINITY), earlier: Notify::new() }
+        WakeTimer { wakes_at: Cell::new(f64::INFINITY), earlier: Notify::new() }
     }
 }
 
 impl WakeTimer {
-    /// Sleeps until `wake`, or until it is brought forward.
+    /// Sleeps until `wake`, ms by the wheel's clock, or until another task brings the wake-up forward.
     pub async fn sleep_until(&self, wheel: &Wheel, wake: f64) {
-        self.set_for.set(wake);
+        self.wakes_at.set(wake);
         tokio::select! {
             () = self.earlier.notified() => {}
-            () = wheel.sleep_until(wake.min(wheel.now() + LONGEST_MS)) => {}
+            () = wheel.sleep_until(wake.min(wheel.now() + LONGEST_SLEEP_MS)) => {}
         }
     }
 
-    /// Something is due at `wake`, now or later: a task that sleeps for longer looks again.
+    /// Wakes the task if it would sleep beyond `wake`, ms, so that it reads its new due time.
     pub fn bring_forward(&self, wake: f64) {
-        if wake < self.set_for.get() {
+        if wake < self.wakes_at.get() {
             self.earlier.notify_one();
         }
     }
 
-    /// The task looks again at once.
+    /// Wakes the task at once.
     pub fn wake_now(&self) {
         self.earlier.notify_one();
     }
