--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,19 +1,18 @@
-//! The gateway on edge machines: clients on one side, servers on the other, the core's knowledge between them.
+//! The gateway on edge machines: proxies clients' requests to servers, by the configuration that the core distributes.
 
-pub mod alarm;
 mod attempt;
 pub mod budget;
 pub mod claim_attempt;
 pub mod claim_client;
 pub mod cli;
+pub mod core_client;
 pub mod drain;
 pub mod exchange;
 pub mod exchange_state;
-pub mod figures;
-pub mod front;
+pub mod frontend;
 pub mod hedge;
+pub mod leader_lookup;
 pub mod lease;
-pub mod link;
 pub mod metrics;
 pub mod operations;
 pub mod overflow;
@@ -21,15 +20,16 @@
 pub mod preference;
 pub mod proxy;
 mod proxy_context;
+pub mod proxy_types;
 pub mod quota_refusals;
 pub mod recall;
 pub mod reply;
 pub mod resolve;
-pub mod seek;
 pub mod selection;
 pub mod serve;
 pub mod shutdown;
 pub mod table;
 pub mod tenant_pacing;
 pub mod upstream;
+pub mod wake_timer;
 pub mod watch;
--- a/crates/edge/src/proxy_context.rs
+++ b/crates/edge/src/proxy_context.rs
@@ -4,8 +4,8 @@
 use crate::budget::{slack_share, RetryBudget, SendPacer, DEFAULT_GATEWAY_COUNT};
 use crate::exchange::Admission;
 use crate::exchange_state::SendDenial;
-use crate::figures::{Backend, Counts, Tuning};
 use crate::pool::Pool;
+use crate::proxy_types::{BackendConfig, ProxyCounts, ProxyTuning};
 use crate::selection::FleetLayout;
 use crate::shutdown::Shutdown;
 use crate::upstream::{Location, Upstream};
@@ -18,10 +18,10 @@
 pub(crate) struct Shared {
     pub(crate) pool: Rc<Pool>,
     pub(crate) wheel: Wheel,
-    pub(crate) tuning: Tuning,
+    pub(crate) tuning: ProxyTuning,
     pub(crate) here: Location,
     pub(crate) book: RefCell<Book>,
-    pub(crate) counts: Cell<Counts>,
+    pub(crate) counts: Cell<ProxyCounts>,
     /// A cold server's permit has been used since the tables were last told.
     pub(crate) cold_used: Cell<bool>,
     /// The schedule of the shutdown, once the order to leave has come.
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub(crate) struct Book {
     pub(crate) upstreams: BTreeMap<String, Upstream>,
-    pub(crate) backends: HashMap<String, Backend>,
+    pub(crate) backends: HashMap<String, BackendConfig>,
     pub(crate) gateways: Option<u32>,
     pub(crate) budgets: HashMap<Rc<str>, RetryBudget>,
     pub(crate) permits: HashMap<String, SendPacer>,
@@ -62,10 +62,10 @@
             Some(shutdown) => shutdown.bound_deadline(load.deadline),
             None => load.deadline,
         };
-        deadline - self.wheel.now() - self.tuning.margin_ms
+        deadline - self.wheel.now() - self.tuning.deadline_margin_ms
     }
 
-    pub(crate) fn count(&self, change: impl FnOnce(&mut Counts)) {
+    pub(crate) fn count(&self, change: impl FnOnce(&mut ProxyCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
@@ -104,7 +104,7 @@
                 units.zip(tenant).filter(|(units, tenant)| !units.take_extra_unit(tenant))
             {
                 drop(units);
-                self.count(|counts| counts.denied += 1);
+                self.count(|counts| counts.further_attempts_denied += 1);
                 log::debug!("event=send_denied tenant={tenant} why=units");
                 return Err(SendDenial::Units);
             }
@@ -118,7 +118,7 @@
         } else if budget.repeat(now) {
             further = Some(now);
         } else {
-            self.count(|counts| counts.denied += 1);
+            self.count(|counts| counts.further_attempts_denied += 1);
             return Err(SendDenial::Budget);
         }
         if cold {
--- a/crates/edge/tests/front_world/mod.rs
+++ b/crates/edge/tests/front_world/mod.rs
@@ -8,7 +8,7 @@
 use nickeljunction_edge::exchange::{
     Admission, AdmissionDecision, BodyPart, BodyStream, Dispatch, Exchange, ResponseBody, ServerResponse,
 };
-use nickeljunction_edge::front::{Front, Lifecycle};
+use nickeljunction_edge::frontend::{Frontend, Lifecycle};
 use nickeljunction_edge::table::{SnapshotCell, Table};
 use nickeljunction_edge::tenant_pacing::TenantPacing;
 use nickeljunction_http::Headers;
@@ -73,7 +73,7 @@
 }
 
 pub struct World {
-    pub front: Rc<Front>,
+    pub front: Rc<Frontend>,
     pub proxy: Rc<Proxy>,
     pub desk: Rc<Desk>,
     pub lifecycle: Rc<Lifecycle>,
@@ -103,7 +103,7 @@
         let ebb = TenantPacing::new(wheel.clone());
         let desk = Rc::new(Desk { says, stale, asked: RefCell::default(), ebb });
         let lifecycle = Rc::new(Lifecycle::default());
-        let front = Front::new(
+        let front = Frontend::new(
             wheel.clone(),
             Rc::new(SnapshotCell::new(table)),
             desk.clone(),
@@ -117,7 +117,7 @@
 
     pub fn client(&self) -> DuplexStream {
         let (client, io) = tokio::io::duplex(8 * 1024);
-        tokio::task::spawn_local(self.front.clone().attend(io));
+        tokio::task::spawn_local(self.front.clone().serve_connection(io));
         client
     }
 
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -3,8 +3,8 @@
 use nickeljunction_core::facade::{
     Class, DedupScope, Facade, Intake, Outcome, Report, RequestKey, RetrySafety, ServiceTable, Verdict,
 };
-use nickeljunction_edge::figures::Tuning;
 use nickeljunction_edge::preference::{min_subset_size, rendezvous_rank};
+use nickeljunction_edge::proxy_types::ProxyTuning;
 use nickeljunction_edge::selection::{decision_settings, ready_entry, FleetLayout};
 use nickeljunction_edge::upstream::{locality_weight, LocalityWeights, Location, Upstream};
 use std::cmp::Reverse;
@@ -64,7 +64,7 @@
     let own: Vec<&Upstream> = servers.iter().filter(|server| weigh(server).is_some()).collect();
     let least =
         FleetLayout::new(shape.gateways as u32, servers.iter()).min_subset_size(own.iter().copied(), &here);
-    let settings = decision_settings(&Tuning::default(), &here, vec![class], 1, least);
+    let settings = decision_settings(&ProxyTuning::default(), &here, vec![class], 1, least);
     let mut facade = Facade::new(settings, at as u64, false).expect("good settings");
     let regions =
         own.iter().map(|server| ready_entry(server, &here, weigh(server).expect("allowed"))).collect();
