--- a/crates/decide/src/bin/nickeljunction-simhost.rs
+++ b/crates/decide/src/bin/nickeljunction-simhost.rs
@@ -6,7 +6,7 @@
 use nickeljunction_decide::api::{Action, Event, ServerEntry, Settings};
 use nickeljunction_decide::decide::Limiter;
 use nickeljunction_decide::wire::{one_line, write_action, Line, WireError};
-use nickeljunction_fleet::{Config, Fleet, Place};
+use nickeljunction_fleet::{Config, Membership, RosterEntry};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -25,7 +25,7 @@
     /// `--fleet`: hosts views of the fleet.
     hosts_views: bool,
     /// The views and limiters, by instance.
-    views: BTreeMap<u64, Fleet>,
+    views: BTreeMap<u64, Membership>,
     limiters: BTreeMap<u64, Limiter>,
     /// Time, number and current instance of the batch that is being read.
     now: f64,
@@ -104,15 +104,21 @@
 
     /// Creates the view of the current instance.
     fn open_view(&mut self, settings: &Settings, mail_per_s: f64, seed: u64) -> Result<(), WireError> {
-        let member = |number: usize| Place {
+        let member = |number: usize| RosterEntry {
             number: number as u16,
             name: format!("n{number}"),
             address: None,
             zone: String::new(),
         };
         let roster = (0..settings.gateway_count).map(member).collect();
-        let config = Config { me: settings.gateway_index as u16, roster, mail_per_s, epoch: 0, seed };
-        let view = Fleet::new(config, CLOCK_OFFSET_MS + self.now)
+        let config = Config {
+            own_number: settings.gateway_index as u16,
+            roster,
+            max_received_per_s: mail_per_s,
+            epoch: 0,
+            seed,
+        };
+        let view = Membership::new(config, CLOCK_OFFSET_MS + self.now)
             .map_err(|error| WireError { field: "Siblings".into(), reason: error.to_string() })?;
         self.views.insert(self.instance, view);
         self.write_view_messages(true);
@@ -123,10 +129,10 @@
     fn write_view_messages(&mut self, set_timer: bool) {
         let Some(view) = self.views.get_mut(&self.instance) else { return };
         let mut lines = String::new();
-        while let Some((to, bytes)) = view.transmit() {
+        while let Some((to, bytes)) = view.next_datagram() {
             lines.push_str(&format!("TELL\tTo={to}\tBytes={}\n", BASE64_STANDARD.encode(bytes)));
         }
-        while view.change().is_some() {}
+        while view.next_change().is_some() {}
         if set_timer {
             let after = (view.next_tick() - CLOCK_OFFSET_MS - self.now).clamp(1.0, MAX_VIEW_INTERVAL_MS);
             lines.push_str(&format!("SET_TIMER\tKeyBack={VIEW_TIMER}\tAfterMs={after}\n"));
--- a/crates/fleet/benches/membership.rs
+++ b/crates/fleet/benches/membership.rs
@@ -5,9 +5,9 @@
 #[path = "../tests/world/mod.rs"]
 mod world;
 
-use nickeljunction_fleet::State;
+use nickeljunction_fleet::MemberState;
 use std::time::Instant;
-use world::{Faults, World, CALM};
+use world::{Faults, Simulation, CALM};
 
 /// The `part`th of a sorted list.
 fn at(sorted: &[f64], part: f64) -> f64 {
@@ -18,8 +18,8 @@
     println!("{what:<34} {figures}");
 }
 
-fn settled(size: usize, seed: u64) -> World {
-    let mut world = World::new(size, seed);
+fn settled(size: usize, seed: u64) -> Simulation {
+    let mut world = Simulation::new(size, seed);
     world.check_parts = size <= 1_000;
     (0..size).for_each(|at| world.start(at));
     let took = world.settle(120_000.0);
@@ -28,11 +28,11 @@
 }
 
 /// When each that lives came to hold `who` for gone, ms after `since`, sorted.
-fn known(world: &World, from: usize, who: usize, since: f64) -> Vec<f64> {
+fn known(world: &Simulation, from: usize, who: usize, since: f64) -> Vec<f64> {
     let mut times: Vec<f64> = world.changes[from..]
         .iter()
-        .filter(|(_, change)| usize::from(change.number) == who && change.to == State::Gone)
-        .map(|(_, change)| change.at - since)
+        .filter(|(_, change)| usize::from(change.number) == who && change.to == MemberState::Gone)
+        .map(|(_, change)| change.at_ms - since)
         .collect();
     times.sort_by(f64::total_cmp);
     times
@@ -112,13 +112,13 @@
     let (from, sent, began) = (world.changes.len(), world.sent, world.now);
     world.run(minutes * 60_000.0);
     let to = |state| world.changes[from..].iter().filter(|(_, change)| change.to == state).count();
-    let wrong: u64 = world.living().iter().map(|at| world.fleet(*at).counts().wrongly_gone).sum();
+    let wrong: u64 = world.living().iter().map(|at| world.fleet(*at).counts().false_positives).sum();
     let suspected: u64 = world.living().iter().map(|at| world.fleet(*at).counts().suspected).sum();
     line(
         &format!("{size}: {minutes:.0} min at {:.0}% loss", loss * 100.0),
         &format!(
             "{suspected} suspicions by own probes, {} views with one gone that lived, {wrong} taken back; {:.1} messages/s each",
-            to(State::Gone),
+            to(MemberState::Gone),
             (world.sent - sent) as f64 / size as f64 / ((world.now - began) / 1_000.0)
         ),
     );
--- a/crates/fleet/src/bits.rs
+++ b/crates/fleet/src/bits.rs
@@ -4,12 +4,12 @@
 
 /// A set of numbers. Sets of the same members are equal: no byte of zeros ends one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Bits(Vec<u8>);
+pub struct MemberSet(Vec<u8>);
 
-impl Bits {
+impl MemberSet {
     /// The set of these numbers.
-    pub fn of(numbers: impl IntoIterator<Item = u16>) -> Bits {
-        let mut bits = Bits::default();
+    pub fn from_numbers(numbers: impl IntoIterator<Item = u16>) -> MemberSet {
+        let mut bits = MemberSet::default();
         numbers.into_iter().for_each(|number| bits.insert(number));
         bits
     }
@@ -24,7 +24,7 @@
     }
 
     /// Whether a number is in it.
-    pub fn has(&self, number: u16) -> bool {
+    pub fn contains(&self, number: u16) -> bool {
         self.0.get(usize::from(number / 8)).is_some_and(|byte| byte & (1 << (number % 8)) != 0)
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Takes the numbers of another in; whether any of them was new.
-    pub fn merge(&mut self, other: &Bits) -> bool {
+    pub fn merge(&mut self, other: &MemberSet) -> bool {
         if self.0.len() < other.0.len() {
             self.0.resize(other.0.len(), 0);
         }
@@ -47,7 +47,7 @@
     }
 
     /// Numbers up to `most` alone, and no byte of zeros at the end: what came in a datagram may hold either.
-    pub(crate) fn bound(&mut self, most: u16) {
+    pub(crate) fn limit_to(&mut self, most: u16) {
         self.0.truncate(usize::from(most / 8) + 1);
         if let Some(last) = self.0.get_mut(usize::from(most / 8)) {
             *last &= 0xffu8 >> (7 - most % 8);
@@ -58,7 +58,7 @@
     }
 
     /// Bytes that it takes.
-    pub(crate) fn bytes(&self) -> usize {
+    pub(crate) fn byte_len(&self) -> usize {
         self.0.len()
     }
 }
@@ -69,15 +69,15 @@
 
     #[test]
     fn a_set_holds_what_was_put_in_and_bounds_what_came_from_outside() {
-        let mut bits = Bits::of([0, 9, 300]);
-        assert!(bits.has(9) && !bits.has(8) && bits.count() == 3 && !bits.has(4_000));
-        assert!(bits.merge(&Bits::of([8])) && !bits.merge(&Bits::of([8, 9])));
-        bits.bound(9);
-        assert_eq!(bits, Bits::of([0, 8, 9]));
-        bits.bound(8);
-        assert_eq!(bits, Bits::of([8, 0]));
-        let mut noise = Bits(vec![0xff; 40]);
-        noise.bound(2);
-        assert_eq!(noise, Bits::of([0, 1, 2]));
+        let mut bits = MemberSet::from_numbers([0, 9, 300]);
+        assert!(bits.contains(9) && !bits.contains(8) && bits.count() == 3 && !bits.contains(4_000));
+        assert!(bits.merge(&MemberSet::from_numbers([8])) && !bits.merge(&MemberSet::from_numbers([8, 9])));
+        bits.limit_to(9);
+        assert_eq!(bits, MemberSet::from_numbers([0, 8, 9]));
+        bits.limit_to(8);
+        assert_eq!(bits, MemberSet::from_numbers([8, 0]));
+        let mut noise = MemberSet(vec![0xff; 40]);
+        noise.limit_to(2);
+        assert_eq!(noise, MemberSet::from_numbers([0, 1, 2]));
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -13,8 +13,8 @@
 mod view;
 mod wire;
 
-pub use bits::Bits;
-pub use machine::{BadRoster, Cause, Change, Config, Counts, Dropped, Fleet};
+pub use bits::MemberSet;
+pub use machine::{Cause, Change, Config, Counts, DropReason, InvalidRoster, Membership};
 pub use share::{Ballot, Grant, Shares, PERIOD_MS};
-pub use view::{Doubt, Member, Place, State, View};
-pub use wire::{MOST_BYTES, VERSION};
+pub use view::{LiveEstimate, Member, MemberState, RosterEntry, View};
+pub use wire::{MAX_DATAGRAM_BYTES, PROTOCOL_VERSION};
--- a/crates/fleet/src/machine/change.rs
+++ b/crates/fleet/src/machine/change.rs
@@ -1,28 +1,28 @@
 //! Changes of the view and their causes, as the machine reports them.
 
-use crate::view::State;
+use crate::view::MemberState;
 
 /// Why a member's state changed, or what else was noticed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
     /// A datagram came from it.
-    Heard,
+    DatagramReceived,
     /// The gateway of this number said so.
-    Told(u16),
+    ReportedBy(u16),
     /// It answered neither this gateway nor its helpers.
-    NoAnswer,
+    ProbeFailed,
     /// Nobody heard it while it was suspected.
-    SuspicionOver,
+    SuspicionTimedOut,
     /// This gateway's own doing: it started, leaves, comes back or has another epoch.
-    Own,
+    LocalEvent,
     /// This gateway was held to be suspect, gone or leaving, by the gateway of this number, and took it back.
-    TakenBack(u16),
+    Refuted(u16),
     /// An earlier life of this gateway had a clock that was ahead.
-    ClockWentBack,
+    ClockWentBackwards,
     /// Another process claims this gateway's number; this one stays and the other should leave.
-    Rival,
+    DuplicateNumber,
     /// Another process claims this gateway's number, and this one yields: it says nothing more of itself.
-    Yields,
+    YieldedNumber,
     /// This process did nothing for so many ms.
     Hung(u64),
 }
@@ -31,13 +31,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Change {
     /// When, ms.
-    pub at: f64,
+    pub at_ms: f64,
     /// Whose.
     pub number: u16,
     /// Its former state.
-    pub from: State,
+    pub from: MemberState,
     /// Its state.
-    pub to: State,
+    pub to: MemberState,
     /// Why.
     pub cause: Cause,
 }
--- a/crates/fleet/src/machine/claims.rs
+++ b/crates/fleet/src/machine/claims.rs
@@ -1,8 +1,8 @@
 //! What other gateways claim of a member, and of this gateway itself.
 
 use super::parameters::{HEALTH_MOST, MARK_BITS};
-use super::{Cause, Change, Fleet};
-use crate::view::State;
+use super::{Cause, Change, Membership};
+use crate::view::MemberState;
 use crate::wire::{Claim, Entry};
 
 /// Claims of a living rival to this gateway's number after which it counts as one: the first may be a life of before,
@@ -11,10 +11,10 @@
 /// Changes that wait to be told at most; older ones are dropped, and the figures still count them.
 const CHANGES_MOST: usize = 1_024;
 
-impl Fleet {
+impl Membership {
     pub(super) fn hear_claim(&mut self, teller: u16, entry: &Entry, base: u64) {
         let incarnation = entry.incarnation(base);
-        let Some(at) = self.view.index(entry.number) else { return };
+        let Some(at) = self.view.index_of(entry.number) else { return };
         if at == self.at {
             return self.hear_claim_on_self(teller, entry.claim, incarnation);
         }
@@ -22,20 +22,20 @@
         let held = member.claim().map_or((0, 0), |claim| (member.incarnation, claim.rank() + 1));
         if (incarnation, entry.claim.rank() + 1) <= held {
             if let Claim::Suspect(by) = entry.claim {
-                if incarnation == member.incarnation && member.state == State::Suspect {
+                if incarnation == member.incarnation && member.state == MemberState::Suspect {
                     self.confirm_suspicion(at, by);
                 }
             }
             return;
         }
-        let cause = Cause::Told(teller);
+        let cause = Cause::ReportedBy(teller);
         match entry.claim {
-            Claim::Alive => self.set_state(at, State::Alive, incarnation, entry.epoch, cause),
-            Claim::Leaving => self.set_state(at, State::Leaving, incarnation, entry.epoch, cause),
-            Claim::Gone => self.set_state(at, State::Gone, incarnation, entry.epoch, cause),
+            Claim::Alive => self.set_state(at, MemberState::Alive, incarnation, entry.epoch, cause),
+            Claim::Leaving => self.set_state(at, MemberState::Leaving, incarnation, entry.epoch, cause),
+            Claim::Gone => self.set_state(at, MemberState::Gone, incarnation, entry.epoch, cause),
             Claim::Suspect(by) => {
                 if incarnation > member.incarnation {
-                    self.set_state(at, State::Alive, incarnation, entry.epoch, cause);
+                    self.set_state(at, MemberState::Alive, incarnation, entry.epoch, cause);
                 }
                 self.suspect(at, by, cause);
             }
@@ -49,11 +49,11 @@
             if matches!(claim, Claim::Gone | Claim::Leaving) && incarnation >= self.incarnation {
                 (self.yielded, self.rival_claims) = (false, 0);
                 self.raise_incarnation(incarnation);
-                self.announce_self(State::Alive, Cause::TakenBack(teller));
+                self.announce_self(MemberState::Alive, Cause::Refuted(teller));
             }
             return;
         }
-        let state = if self.leaving { State::Leaving } else { State::Alive };
+        let state = if self.leaving { MemberState::Leaving } else { MemberState::Alive };
         if incarnation > self.incarnation {
             // Nobody but a process of this number claims a life: one of before whose clock was ahead, or one beside.
             self.rival_claims += 1;
@@ -63,20 +63,20 @@
                 self.yielded = true;
                 self.probes.clear();
                 self.incarnation = incarnation;
-                self.view.set(self.now, self.at, State::Alive, incarnation, self.epoch);
+                self.view.set(self.now, self.at, MemberState::Alive, incarnation, self.epoch);
                 self.forget_news(self.at);
-                return self.record_change(self.at, state, Cause::Yields);
+                return self.record_change(self.at, state, Cause::YieldedNumber);
             }
             self.raise_incarnation(incarnation);
-            self.announce_self(state, if rival { Cause::Rival } else { Cause::ClockWentBack });
+            self.announce_self(state, if rival { Cause::DuplicateNumber } else { Cause::ClockWentBackwards });
         } else if incarnation == self.incarnation
             && claim.rank() > 0
             && !(self.leaving && claim == Claim::Leaving)
         {
-            self.counts.taken_back += 1;
+            self.counts.refuted += 1;
             self.health = (self.health + 1).min(HEALTH_MOST);
             self.raise_incarnation(incarnation);
-            self.announce_self(state, Cause::TakenBack(teller));
+            self.announce_self(state, Cause::Refuted(teller));
         }
     }
 
@@ -86,31 +86,47 @@
         self.incarnation = (((over >> MARK_BITS) + 1) << MARK_BITS) | mark;
     }
 
-    pub(super) fn announce_self(&mut self, state: State, cause: Cause) {
+    pub(super) fn announce_self(&mut self, state: MemberState, cause: Cause) {
         let from = self.view.set(self.now, self.at, state, self.incarnation, self.epoch);
         self.record_change(self.at, from, cause);
         self.spread(self.at);
     }
 
     /// A member has another state or life.
-    pub(super) fn set_state(&mut self, at: usize, state: State, incarnation: u64, epoch: u32, cause: Cause) {
+    pub(super) fn set_state(
+        &mut self,
+        at: usize,
+        state: MemberState,
+        incarnation: u64,
+        epoch: u32,
+        cause: Cause,
+    ) {
         let member = self.view.member(at);
         let same_life = (incarnation >> MARK_BITS) != (member.incarnation >> MARK_BITS)
             && (incarnation ^ member.incarnation) & ((1 << MARK_BITS) - 1) == 0;
-        if member.state == State::Gone && state == State::Alive && same_life {
-            self.counts.wrongly_gone += 1;
+        if member.state == MemberState::Gone && state == MemberState::Alive && same_life {
+            self.counts.false_positives += 1;
         }
         self.suspicions.remove(&at);
         let from = self.view.set(self.now, at, state, incarnation, epoch);
         self.record_change(at, from, cause);
         // Taken back: else, with much to tell, word of the suspicion would outrun it everywhere.
-        self.spread_as(at, matches!(from, State::Suspect | State::Gone) && state == State::Alive);
+        self.spread_as(
+            at,
+            matches!(from, MemberState::Suspect | MemberState::Gone) && state == MemberState::Alive,
+        );
     }
-    pub(super) fn record_change(&mut self, at: usize, from: State, cause: Cause) {
+    pub(super) fn record_change(&mut self, at: usize, from: MemberState, cause: Cause) {
         let to = self.view.member(at).state;
         if self.changes.len() >= CHANGES_MOST {
             self.changes.pop_front();
         }
-        self.changes.push_back(Change { at: self.now, number: self.view.place(at).number, from, to, cause });
+        self.changes.push_back(Change {
+            at_ms: self.now,
+            number: self.view.roster_entry(at).number,
+            from,
+            to,
+            cause,
+        });
     }
 }
--- a/crates/fleet/src/machine/counts.rs
+++ b/crates/fleet/src/machine/counts.rs
@@ -2,41 +2,41 @@
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Dropped {
+pub enum DropReason {
     /// Checksum, length or form.
     Damaged,
     /// Another version's.
-    Version,
+    VersionMismatch,
     /// From an address, or in the name, of nobody in the roster, or of this gateway itself.
-    Stranger,
+    UnknownSender,
     /// Its sender goes by another roster.
-    Roster,
+    RosterMismatch,
     /// Of an earlier life of its sender.
     Stale,
     /// More than this gateway takes in, of one member or of all.
-    TooMany,
+    RateLimited,
 }
 
-impl Dropped {
+impl DropReason {
     /// All reasons.
-    pub const ALL: [Dropped; 6] = [
-        Dropped::Damaged,
-        Dropped::Version,
-        Dropped::Stranger,
-        Dropped::Roster,
-        Dropped::Stale,
-        Dropped::TooMany,
+    pub const ALL: [DropReason; 6] = [
+        DropReason::Damaged,
+        DropReason::VersionMismatch,
+        DropReason::UnknownSender,
+        DropReason::RosterMismatch,
+        DropReason::Stale,
+        DropReason::RateLimited,
     ];
 
     /// Its name in figures.
     pub fn name(self) -> &'static str {
         match self {
-            Dropped::Damaged => "damaged",
-            Dropped::Version => "version",
-            Dropped::Stranger => "stranger",
-            Dropped::Roster => "roster",
-            Dropped::Stale => "stale",
-            Dropped::TooMany => "too_many",
+            DropReason::Damaged => "damaged",
+            DropReason::VersionMismatch => "version",
+            DropReason::UnknownSender => "stranger",
+            DropReason::RosterMismatch => "roster",
+            DropReason::Stale => "stale",
+            DropReason::RateLimited => "too_many",
         }
     }
 }
@@ -50,21 +50,21 @@
     pub sent_bytes: u64,
     /// Datagrams that were taken in.
     pub received: u64,
-    /// Datagrams dropped, in the order of [`Dropped::ALL`].
+    /// Datagrams dropped, in the order of [`DropReason::ALL`].
     pub dropped: [u64; 6],
     /// Datagrams that were held back for want of room.
-    pub held_back: u64,
+    pub rate_limited: u64,
     /// Members that this gateway came to suspect by its own probes.
     pub suspected: u64,
     /// Members that it held to be gone and that turned out to live the same life.
-    pub wrongly_gone: u64,
+    pub false_positives: u64,
     /// Claims on itself that it took back.
-    pub taken_back: u64,
+    pub refuted: u64,
 }
 
 impl Counts {
-    /// Dropped for this reason.
-    pub fn dropped(&self, why: Dropped) -> u64 {
+    /// DropReason for this reason.
+    pub fn dropped(&self, why: DropReason) -> u64 {
         self.dropped[why as usize]
     }
 }
--- a/crates/fleet/src/machine/datagrams.rs
+++ b/crates/fleet/src/machine/datagrams.rs
@@ -1,10 +1,10 @@
 //! Datagrams: what is taken in, what is answered, and what may be sent within this gateway's rate.
 
-use super::{Cause, Dropped, Fleet};
-use crate::view::State;
+use super::{Cause, DropReason, Membership};
+use crate::view::MemberState;
 use crate::wire::{Body, Entry, Packet, Unreadable};
 
-impl Fleet {
+impl Membership {
     /// Takes a datagram that came from the address of member `from`.
     pub fn receive(&mut self, now: f64, from: u16, bytes: &[u8]) {
         self.advance(now);
@@ -14,25 +14,25 @@
         };
         let member = self.view.member(at);
         if packet.incarnation < member.incarnation {
-            self.count_dropped(Dropped::Stale);
+            self.count_dropped(DropReason::Stale);
             // A life of before that lingers, a start with a clock that jumped back, or a process beside the
             // member: whichever it is, it must hear what is held of its number.
             self.send_of(at, Body::Gossip, &[at], false);
             return;
         }
         self.counts.received += 1;
-        if packet.incarnation > member.incarnation || member.state == State::Unproven {
-            let state = if packet.leaving { State::Leaving } else { State::Alive };
-            self.set_state(at, state, packet.incarnation, packet.epoch, Cause::Heard);
+        if packet.incarnation > member.incarnation || member.state == MemberState::Unknown {
+            let state = if packet.leaving { MemberState::Leaving } else { MemberState::Alive };
+            self.set_state(at, state, packet.incarnation, packet.epoch, Cause::DatagramReceived);
         }
-        self.view.contact(at).heard = self.now;
+        self.view.contact(at).last_received_ms = self.now;
         self.heard = self.now;
         for entry in &packet.news {
             self.hear_claim(packet.from, entry, packet.incarnation);
         }
         self.hear_votes(&packet);
         // It is held to be suspect or gone and speaks: it must hear that to take it back.
-        let accused = matches!(self.view.member(at).state, State::Suspect | State::Gone);
+        let accused = matches!(self.view.member(at).state, MemberState::Suspect | MemberState::Gone);
         let answers = matches!(packet.body, Body::Ping(_) | Body::PingFor { .. });
         if accused && !answers {
             self.send(at, Body::Gossip, false);
@@ -44,22 +44,22 @@
     }
 
     /// The sender's index and the packet, or why the datagram is dropped.
-    fn accept(&mut self, from: u16, bytes: &[u8]) -> Result<(usize, Packet), Dropped> {
-        let at = self.view.index(from).filter(|at| *at != self.at).ok_or(Dropped::Stranger)?;
+    fn accept(&mut self, from: u16, bytes: &[u8]) -> Result<(usize, Packet), DropReason> {
+        let at = self.view.index_of(from).filter(|at| *at != self.at).ok_or(DropReason::UnknownSender)?;
         let packet = Packet::decode(bytes).map_err(|error| match error {
-            Unreadable::Damaged => Dropped::Damaged,
-            Unreadable::Version => Dropped::Version,
+            Unreadable::Damaged => DropReason::Damaged,
+            Unreadable::Version => DropReason::VersionMismatch,
         })?;
         // Senders are believed by their address: in another's name nobody speaks.
         if packet.from != from {
-            return Err(Dropped::Stranger);
+            return Err(DropReason::UnknownSender);
         }
         if packet.roster != self.roster {
-            return Err(Dropped::Roster);
+            return Err(DropReason::RosterMismatch);
         }
         // Only what can be read is charged to its sender: noise in a member's name must not crowd out its true mail.
         if !self.admits(at) {
-            return Err(Dropped::TooMany);
+            return Err(DropReason::RateLimited);
         }
         Ok((at, packet))
     }
@@ -78,16 +78,16 @@
         }
     }
 
-    pub(super) fn count_dropped(&mut self, why: Dropped) {
+    pub(super) fn count_dropped(&mut self, why: DropReason) {
         self.counts.dropped[why as usize] += 1;
     }
 
     /// Whether a datagram of this member is taken: so many a second of all, and of each a fourth of them.
     fn admits(&mut self, at: usize) -> bool {
         let gap = (self.now - self.taken_at) / 1_000.0;
-        self.taken = (self.taken + gap * self.mail_per_s).min(self.mail_per_s);
+        self.taken = (self.taken + gap * self.max_received_per_s).min(self.max_received_per_s);
         self.taken_at = self.now;
-        let (now, each) = (self.now, (self.mail_per_s / 4.0).max(10.0));
+        let (now, each) = (self.now, (self.max_received_per_s / 4.0).max(10.0));
         let member = self.view.contact(at);
         let gap = ((now - member.mail_at) / 1_000.0).min(1.0);
         member.mail = (f64::from(member.mail) + gap * each).min(each) as f32;
@@ -115,7 +115,7 @@
             return;
         }
         if self.budget < self.least_budget(&body, urgent) {
-            self.counts.held_back += 1;
+            self.counts.rate_limited += 1;
             return;
         }
         let mut packet = self.packet(body);
@@ -133,7 +133,7 @@
         self.budget -= 1.0;
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        self.out.push_back((self.view.place(at).number, bytes));
+        self.out.push_back((self.view.roster_entry(at).number, bytes));
     }
 
     /// The budget below which such a datagram is held back.
--- a/crates/fleet/src/machine/digest.rs
+++ b/crates/fleet/src/machine/digest.rs
@@ -1,7 +1,7 @@
 //! Repair of views that differ: ranges of members are compared by digest, and small ranges are told entry by entry.
 
-use super::Fleet;
-use crate::view::State;
+use super::Membership;
+use crate::view::MemberState;
 use crate::wire::{Body, Entry};
 
 /// So many news are much: more than a datagram holds.
@@ -13,9 +13,12 @@
 /// Datagrams that answer one comparison at most; the rest comes with the next.
 const TELLS_MOST: usize = 4;
 
-impl Fleet {
+impl Membership {
     pub(super) fn number_range(&self) -> (u32, u32) {
-        (u32::from(self.view.place(0).number), u32::from(self.view.place(self.view.len() - 1).number) + 1)
+        (
+            u32::from(self.view.roster_entry(0).number),
+            u32::from(self.view.roster_entry(self.view.len() - 1).number) + 1,
+        )
     }
 
     /// Pings the one whose turn it is; with each ping of the slot that failed, one further on.    /// Compares a range of numbers with another gateway: few are told, many by digests of parts.
@@ -62,8 +65,8 @@
 
     fn tell(&mut self, at: usize, from: u32, to: u32) {
         let known: Vec<usize> = (from..to)
-            .filter_map(|number| self.view.index(number as u16))
-            .filter(|index| self.view.member(*index).state != State::Unproven)
+            .filter_map(|number| self.view.index_of(number as u16))
+            .filter(|index| self.view.member(*index).state != MemberState::Unknown)
             .collect();
         let body = Body::Tell { from: from as u16, span: (to - from) as u16, back: true };
         self.send_of(at, body, &known, self.has_little_news());
@@ -73,7 +76,7 @@
     pub(super) fn tell_newer(&mut self, at: usize, from: u16, span: u16, news: &[Entry], base: u64) {
         let range = u32::from(from)..u32::from(from) + u32::from(span).min(TELL_SPAN);
         let newer: Vec<usize> = range
-            .filter_map(|number| self.view.index(number as u16))
+            .filter_map(|number| self.view.index_of(number as u16))
             .filter(|index| self.is_newer(*index, news, base))
             .collect();
         if !newer.is_empty() {
@@ -84,7 +87,7 @@
     /// This gateway knows more of a member than the told entries.
     fn is_newer(&self, index: usize, told: &[Entry], base: u64) -> bool {
         let member = self.view.member(index);
-        let number = self.view.place(index).number;
+        let number = self.view.roster_entry(index).number;
         let Some(claim) = member.claim() else { return false };
         let told = told.iter().find(|entry| entry.number == number);
         told.is_none_or(|entry| {
--- a/crates/fleet/src/machine/gossip.rs
+++ b/crates/fleet/src/machine/gossip.rs
@@ -1,14 +1,14 @@
 //! News of members, spread to members drawn at random until each item was told often enough.
 
 use super::parameters::GOSSIP_MS;
-use super::Fleet;
-use crate::view::{State, View};
+use super::Membership;
+use crate::view::{MemberState, View};
 use crate::wire::{Body, Entry};
 
 /// Receivers of one round of news.
 const FANOUT: usize = 2;
 
-impl Fleet {
+impl Membership {
     pub(super) fn spread(&mut self, at: usize) {
         self.spread_as(at, false);
     }
@@ -21,9 +21,9 @@
         let class = match self.view.member(at).state {
             // What is taken back must outrun what it takes back.
             _ if at == self.at || taken_back => 0,
-            State::Suspect | State::Leaving => 1,
-            State::Gone => 2,
-            State::Alive | State::Unproven => 3,
+            MemberState::Suspect | MemberState::Leaving => 1,
+            MemberState::Gone => 2,
+            MemberState::Alive | MemberState::Unknown => 3,
         };
         self.news.insert((class, 0, at));
         self.news_of.insert(at, (class, 0));
@@ -46,11 +46,11 @@
         for _ in 0..FANOUT {
             // What stands by for pings and answers is not spent on news.
             if self.budget < 0.1 * self.rate {
-                self.counts.held_back += 1;
+                self.counts.rate_limited += 1;
                 return;
             }
             if let Some(at) =
-                self.random_member(|member| matches!(member.state, State::Alive | State::Suspect))
+                self.random_member(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
             {
                 self.send(at, Body::Gossip, false);
             }
@@ -64,11 +64,11 @@
         let entry = |view: &View, at: usize| {
             let member = view.member(at);
             let claim = member.claim()?;
-            Some(Entry::new(view.place(at).number, claim, member.incarnation, member.epoch, base))
+            Some(Entry::new(view.roster_entry(at).number, claim, member.incarnation, member.epoch, base))
         };
-        let accused = !matches!(self.view.member(to).state, State::Alive | State::Unproven);
+        let accused = !matches!(self.view.member(to).state, MemberState::Alive | MemberState::Unknown);
         if let Some(accusation) = entry(&self.view, to).filter(|_| accused) {
-            room = room.saturating_sub(accusation.bytes());
+            room = room.saturating_sub(accusation.byte_len());
             entries.push(accusation);
         }
         let mut told = Vec::new();
@@ -80,7 +80,7 @@
                 continue;
             }
             let Some(found) = entry(&self.view, *at) else { continue };
-            let bytes = found.bytes();
+            let bytes = found.byte_len();
             if bytes > room {
                 break;
             }
@@ -106,12 +106,12 @@
         for index in members {
             let member = self.view.member(*index);
             let Some(claim) = member.claim() else { continue };
-            let number = self.view.place(*index).number;
+            let number = self.view.roster_entry(*index).number;
             let entry = Entry::new(number, claim, member.incarnation, member.epoch, self.incarnation);
-            if entry.bytes() > room {
+            if entry.byte_len() > room {
                 break;
             }
-            room -= entry.bytes();
+            room -= entry.byte_len();
             entries.push(entry);
         }
         entries
--- a/crates/fleet/src/machine/mod.rs
+++ b/crates/fleet/src/machine/mod.rs
@@ -30,11 +30,11 @@
 mod suspicion;
 
 pub use change::{Cause, Change};
-pub use config::{BadRoster, Config};
-pub use counts::{Counts, Dropped};
+pub use config::{Config, InvalidRoster};
+pub use counts::{Counts, DropReason};
 
 use crate::share::{Shares, PERIOD_MS};
-use crate::view::{Doubt, Member, Place, State, View};
+use crate::view::{LiveEstimate, Member, MemberState, RosterEntry, View};
 use crate::wire::Body;
 use parameters::{mix, GOSSIP_MS, HEALTH_MOST, HELPERS, MARK_BITS, SINCE_MS};
 use pending::{Probe, Relay, Suspicion};
@@ -55,7 +55,7 @@
 
 /// The membership machine of one gateway.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Membership {
     me: u16,
     at: usize,
     roster: u16,
@@ -64,7 +64,7 @@
     slot_ms: f64,
     phase_ms: f64,
     rate: f64,
-    mail_per_s: f64,
+    max_received_per_s: f64,
     retell: u32,
     epoch: u32,
     incarnation: u64,
@@ -105,48 +105,51 @@
     (now / PERIOD_MS).clamp(0.0, f64::from(u32::MAX - 2)) as u32
 }
 
-impl Fleet {
+impl Membership {
     /// A gateway that knows its roster and nobody in it.
     ///
     /// # Errors
     /// The roster is empty, names a number twice, or this gateway is not in it.
-    pub fn new(config: Config, now: f64) -> Result<Fleet, BadRoster> {
-        let Config { me, mut roster, mail_per_s, epoch, seed } = config;
+    pub fn new(config: Config, now: f64) -> Result<Membership, InvalidRoster> {
+        let Config { own_number: me, mut roster, max_received_per_s, epoch, seed } = config;
         roster.sort_by_key(|place| place.number);
         if let Some(pair) = roster.windows(2).find(|pair| pair[0].number == pair[1].number) {
-            return Err(BadRoster(format!("number {} stands twice: each is wanted once", pair[0].number)));
+            return Err(InvalidRoster(format!(
+                "number {} stands twice: each is wanted once",
+                pair[0].number
+            )));
         }
-        Fleet::with(me, roster.into(), mail_per_s, epoch, seed, now)
+        Membership::with_shared_roster(me, roster.into(), max_received_per_s, epoch, seed, now)
     }
 
     /// The same over a roster that is sorted by number and shared, for many machines in one process.
     ///
     /// # Errors
     /// This gateway is not in it.
-    pub fn with(
+    pub fn with_shared_roster(
         me: u16,
-        roster: Arc<[Place]>,
-        mail_per_s: f64,
+        roster: Arc<[RosterEntry]>,
+        max_received_per_s: f64,
         epoch: u32,
         seed: u64,
         now: f64,
-    ) -> Result<Fleet, BadRoster> {
+    ) -> Result<Membership, InvalidRoster> {
         let (size, most) = (roster.len(), roster.last().map_or(0, |place| place.number));
         // Numbers alone: addresses may differ between gateways, and names and zones decide nothing.
         let numbers = roster.iter().fold(size as u64, |print, place| mix(print ^ u64::from(place.number)));
         let print = numbers as u16;
         let view = View::new(roster, now);
-        let at = view.index(me).ok_or_else(|| {
-            BadRoster(format!("number {me} is not in the roster: this gateway's own is wanted"))
+        let at = view.index_of(me).ok_or_else(|| {
+            InvalidRoster(format!("number {me} is not in the roster: this gateway's own is wanted"))
         })?;
-        let rate = (mail_per_s * MAIL_PART).clamp(MAIL_LEAST, MAIL_MOST);
+        let rate = (max_received_per_s * MAIL_PART).clamp(MAIL_LEAST, MAIL_MOST);
         let mut rng = fastrand::Rng::with_seed(seed);
         let units = ((now - SINCE_MS) / 100.0).max(1.0) as u64;
         let incarnation = (units << MARK_BITS) | rng.u64(1..1 << MARK_BITS);
         let slot_ms = SLOT_MS * (10.0 / rate).max(1.0);
         let phase_ms = (mix(u64::from(me)) % 1_000) as f64 / 1_000.0 * slot_ms;
         let shares = Shares::new(me, size, most, period(now));
-        let mut fleet = Fleet {
+        let mut fleet = Membership {
             me,
             at,
             roster: print,
@@ -155,7 +158,7 @@
             slot_ms,
             phase_ms,
             rate,
-            mail_per_s: mail_per_s.max(1.0),
+            max_received_per_s: max_received_per_s.max(1.0),
             retell: (RETELL * ((size + 1) as f64).log10()).ceil() as u32 + 1,
             epoch,
             incarnation,
@@ -189,7 +192,7 @@
             changes: VecDeque::new(),
             counts: Counts::default(),
         };
-        fleet.announce_self(State::Alive, Cause::Own);
+        fleet.announce_self(MemberState::Alive, Cause::LocalEvent);
         // Whoever answers tells that it lives, and by its digest that there is more to know.
         for _ in 0..HELPERS {
             fleet.ask_silent();
@@ -205,49 +208,49 @@
     }
 
     /// This gateway's number.
-    pub fn me(&self) -> u16 {
+    pub fn own_number(&self) -> u16 {
         self.me
     }
 
     /// How long the view has not changed, ms.
-    pub fn quiet_ms(&self) -> f64 {
-        (self.now - self.view.changed()).max(0.0)
+    pub fn unchanged_ms(&self) -> f64 {
+        (self.now - self.view.last_change_ms()).max(0.0)
     }
 
     /// How many gateways live, this one among them.
-    pub fn doubt(&self) -> Doubt {
-        let alive = self.view.count(State::Alive);
-        let suspect = self.view.count(State::Suspect);
-        let left = self.view.count(State::Leaving);
+    pub fn live_estimate(&self) -> LiveEstimate {
+        let alive = self.view.count(MemberState::Alive);
+        let suspect = self.view.count(MemberState::Suspect);
+        let left = self.view.count(MemberState::Leaving);
         // Whose own probes fail can't tell the others' silence from its own: only what it hears itself is sure.
-        let near = |member: &Member| member.heard > self.now - 4.0 * self.slot_ms;
+        let near = |member: &Member| member.last_received_ms > self.now - 4.0 * self.slot_ms;
         let heard = self.view.members().filter(|(place, member)| place.number != self.me && near(member));
         let least = if self.health >= 3 { heard.count() + usize::from(!self.leaving) } else { alive };
-        Doubt { least: least.min(alive), likely: alive + suspect, most: self.view.len() - left }
+        LiveEstimate { min: least.min(alive), likely: alive + suspect, max: self.view.len() - left }
     }
 
     /// Somebody is suspected, never heard of, or gone without a word, or this gateway doubts itself.
-    pub fn in_doubt(&self) -> bool {
-        let doubt = self.doubt();
-        self.yielded || doubt.least < doubt.most
+    pub fn is_uncertain(&self) -> bool {
+        let doubt = self.live_estimate();
+        self.yielded || doubt.min < doubt.max
     }
 
     /// The part of a whole, above 0 to 1, that this gateway may use at `now`: over all gateways no more than 1.
     /// Ask anew for each use: a process that was stopped must look at the clock first.
-    pub fn part(&self, now: f64) -> f64 {
+    pub fn share(&self, now: f64) -> f64 {
         if self.yielded {
             return 0.0;
         }
-        self.shares.part(period(now))
+        self.shares.share(period(now))
     }
 
     /// Into how many parts the pool is split now of which this gateway uses one; `None`: it uses none.
-    pub fn pool(&self, now: f64) -> Option<u16> {
-        self.shares.pool(period(now)).filter(|_| !self.yielded)
+    pub fn pool_divisor(&self, now: f64) -> Option<u16> {
+        self.shares.pool_divisor(period(now)).filter(|_| !self.yielded)
     }
 
     /// Another process holds this gateway's number, and this one says nothing of itself.
-    pub fn yielded(&self) -> bool {
+    pub fn has_yielded(&self) -> bool {
         self.yielded
     }
 
@@ -257,17 +260,17 @@
     }
 
     /// Lifeguard's local health: 0, all is well, to 8.
-    pub fn health(&self) -> u32 {
+    pub fn local_health(&self) -> u32 {
         self.health
     }
 
     /// The next datagram to send, with its receiver's number.
-    pub fn transmit(&mut self) -> Option<(u16, Vec<u8>)> {
+    pub fn next_datagram(&mut self) -> Option<(u16, Vec<u8>)> {
         self.out.pop_front()
     }
 
     /// The next change of the view.
-    pub fn change(&mut self) -> Option<Change> {
+    pub fn next_change(&mut self) -> Option<Change> {
         self.changes.pop_front()
     }
 
@@ -277,9 +280,9 @@
     pub fn leave(&mut self, now: f64) {
         self.advance(now);
         if !std::mem::replace(&mut self.leaving, true) && !self.yielded {
-            self.announce_self(State::Leaving, Cause::Own);
+            self.announce_self(MemberState::Leaving, Cause::LocalEvent);
             for _ in 0..HELPERS {
-                if let Some(at) = self.random_member(|member| member.state == State::Alive) {
+                if let Some(at) = self.random_member(|member| member.state == MemberState::Alive) {
                     self.send(at, Body::Gossip, true);
                 }
             }
@@ -287,11 +290,11 @@
     }
 
     /// It does not leave after all.
-    pub fn stay(&mut self, now: f64) {
+    pub fn cancel_leave(&mut self, now: f64) {
         self.advance(now);
         if std::mem::take(&mut self.leaving) && !self.yielded {
             self.raise_incarnation(self.incarnation);
-            self.announce_self(State::Alive, Cause::Own);
+            self.announce_self(MemberState::Alive, Cause::LocalEvent);
         }
     }
 
@@ -300,17 +303,17 @@
         self.advance(now);
         if std::mem::replace(&mut self.epoch, epoch) != epoch && !self.yielded {
             self.raise_incarnation(self.incarnation);
-            let state = if self.leaving { State::Leaving } else { State::Alive };
-            self.announce_self(state, Cause::Own);
+            let state = if self.leaving { MemberState::Leaving } else { MemberState::Alive };
+            self.announce_self(state, Cause::LocalEvent);
         }
     }
 
     /// A datagram from nobody's address: counted and dropped.
-    pub fn stranger(&mut self) {
-        self.count_dropped(Dropped::Stranger);
+    pub fn count_unknown_sender(&mut self) {
+        self.count_dropped(DropReason::UnknownSender);
     }
 
-    /// When [`Fleet::tick`] is due, ms.
+    /// When [`Membership::tick`] is due, ms.
     pub fn next_tick(&self) -> f64 {
         let mut due = (self.slot + 1) as f64 * self.slot_ms - self.phase_ms;
         for probe in &self.probes {
@@ -352,7 +355,7 @@
         let period = period(self.now);
         if period != self.period {
             self.period = period;
-            self.shares.forget(period);
+            self.shares.discard_before(period);
             (self.vote_told, self.grant_told) = (0, 0);
         }
     }
@@ -366,6 +369,6 @@
             suspicion.since += silence;
         }
         self.health = (self.health + 2).min(HEALTH_MOST);
-        self.record_change(self.at, State::Alive, Cause::Hung(silence as u64));
+        self.record_change(self.at, MemberState::Alive, Cause::Hung(silence as u64));
     }
 }
--- a/crates/fleet/src/machine/probe.rs
+++ b/crates/fleet/src/machine/probe.rs
@@ -2,8 +2,8 @@
 
 use super::parameters::{mix, HEALTH_MOST, HELPERS};
 use super::pending::{Probe, Relay};
-use super::{Cause, Fleet};
-use crate::view::{Member, State};
+use super::{Cause, Membership};
+use crate::view::{Member, MemberState};
 use crate::wire::Body;
 
 /// A ping unanswered for this part of a slot is sent again and asked of helpers.
@@ -19,7 +19,7 @@
 /// Pings in other gateways' place that are open at once at most.
 const RELAYS_MOST: usize = 32;
 
-impl Fleet {
+impl Membership {
     pub(super) fn slot_of(&self, now: f64) -> i64 {
         ((now + self.phase_ms) / self.slot_ms).floor() as i64
     }
@@ -46,11 +46,11 @@
         }
         let green = self.now < self.started + STARTUP_MS;
         // So many at once are rather cut off than dead: the sooner they are met again the better.
-        let cut = self.view.count(State::Gone) * 4 > self.view.len();
+        let cut = self.view.count(MemberState::Gone) * 4 > self.view.len();
         if green || cut || slot.rem_euclid(ASK_GONE_SLOTS) == 0 {
             self.ask_silent();
         }
-        if let Some(at) = self.differs.take().and_then(|number| self.view.index(number)) {
+        if let Some(at) = self.differs.take().and_then(|number| self.view.index_of(number)) {
             let (from, to) = self.number_range();
             self.compare(at, from, to);
         }
@@ -62,7 +62,7 @@
         }
         // Those never heard of are asked apart: they may not be there yet, and each that is not would cost helpers,
         // health and further pings, until too little was left to answer those that live.
-        let wanted = |member: &Member| matches!(member.state, State::Alive | State::Suspect);
+        let wanted = |member: &Member| matches!(member.state, MemberState::Alive | MemberState::Suspect);
         // Ranks among those that live, not in the roster: whoever stood behind a run of dead ones got the pings of
         // them all, more than it could answer, and was suspected for it.
         let ring: Vec<usize> =
@@ -118,11 +118,11 @@
     }
 
     fn ask_helpers(&mut self, at: usize, seq: u16) {
-        let number = self.view.place(at).number;
+        let number = self.view.roster_entry(at).number;
         // With many suspected most helpers are dead as well, and what they cost is lacking for the news of it.
         let helpers = if self.suspicions.len() * 10 > self.view.len() { 1 } else { HELPERS };
         for _ in 0..helpers {
-            let helper = self.random_member(|member| member.state == State::Alive);
+            let helper = self.random_member(|member| member.state == MemberState::Alive);
             if let Some(helper) = helper.filter(|helper| *helper != at) {
                 self.send(helper, Body::PingFor { number, seq }, true);
             }
@@ -130,15 +130,15 @@
     }
 
     fn probe_failed(&mut self, probe: &Probe) {
-        if self.view.member(probe.at).heard >= probe.sent {
+        if self.view.member(probe.at).last_received_ms >= probe.sent {
             return;
         }
         // Nobody was heard meanwhile, not even a helper that heard nothing: perhaps it is this gateway that is cut
         // off or slow. (Helpers alone don't tell: when many fail at once most of them are dead, too.)
-        if !probe.nacked && self.heard < probe.sent && self.view.count(State::Alive) > 2 {
+        if !probe.nacked && self.heard < probe.sent && self.view.count(MemberState::Alive) > 2 {
             self.health = (self.health + 1).min(HEALTH_MOST);
         }
-        self.suspect(probe.at, self.me, Cause::NoAnswer);
+        self.suspect(probe.at, self.me, Cause::ProbeFailed);
     }
 
     /// Tells the askers of pings that were not answered in time.
@@ -153,7 +153,7 @@
             !over
         });
         for (asker, seq) in nacks {
-            if let Some(at) = self.view.index(asker) {
+            if let Some(at) = self.view.index_of(asker) {
                 self.send(at, Body::Nack(seq), true);
             }
         }
@@ -161,14 +161,14 @@
 
     /// Pings a member in the asker's place.
     pub(super) fn relay_ping(&mut self, asker: usize, number: u16, asked: u16) {
-        let Some(target) = self.view.index(number).filter(|target| *target != self.at) else {
+        let Some(target) = self.view.index_of(number).filter(|target| *target != self.at) else {
             return;
         };
         // Helping is bounded: a flood of wishes must not become one of pings.
         if self.relays.len() < RELAYS_MOST && self.budget > 0.0 {
             let seq = self.next_seq();
             let until = self.now + RELAY_PART * self.slot_ms;
-            let asker = self.view.place(asker).number;
+            let asker = self.view.roster_entry(asker).number;
             self.relays.push(Relay { asker, asked, seq, until });
             self.send(target, Body::Ping(seq), true);
         }
@@ -181,7 +181,7 @@
             self.health = self.health.saturating_sub(1);
         } else if let Some(index) = self.relays.iter().position(|relay| relay.seq == seq) {
             let relay = self.relays.swap_remove(index);
-            if let Some(asker) = self.view.index(relay.asker) {
+            if let Some(asker) = self.view.index_of(relay.asker) {
                 self.send(asker, Body::Ack(relay.asked), true);
             }
         } else if let Some(index) = self.probes.iter().position(|probe| probe.seq == seq) {
@@ -197,9 +197,11 @@
 
     /// A ping to one that is held to be gone, or was never heard of: it may be beyond a cut that has ended.
     pub(super) fn ask_silent(&mut self) {
-        let silent = |member: &Member| matches!(member.state, State::Gone | State::Unproven | State::Leaving);
+        let silent = |member: &Member| {
+            matches!(member.state, MemberState::Gone | MemberState::Unknown | MemberState::Leaving)
+        };
         let count = |state| self.view.count(state);
-        if count(State::Gone) + count(State::Unproven) + count(State::Leaving) == 0 {
+        if count(MemberState::Gone) + count(MemberState::Unknown) + count(MemberState::Leaving) == 0 {
             return;
         }
         if let Some(at) = self.random_member(silent) {
--- a/crates/fleet/src/machine/suspicion.rs
+++ b/crates/fleet/src/machine/suspicion.rs
@@ -1,8 +1,8 @@
 //! Suspicions of members that do not answer, and how long each lasts (Lifeguard).
 
 use super::pending::Suspicion;
-use super::{Cause, Fleet};
-use crate::view::State;
+use super::{Cause, Membership};
+use crate::view::MemberState;
 use crate::wire::Body;
 use std::collections::BTreeSet;
 
@@ -12,17 +12,17 @@
 /// Accusers beside the first after which a suspicion is as short as can be.
 const CONFIRMATIONS: usize = 2;
 
-impl Fleet {
+impl Membership {
     pub(super) fn suspect(&mut self, at: usize, by: u16, cause: Cause) {
         match self.view.member(at).state {
-            State::Alive => {}
-            State::Suspect => return self.confirm_suspicion(at, by),
+            MemberState::Alive => {}
+            MemberState::Suspect => return self.confirm_suspicion(at, by),
             // Never heard of: nothing to suspect.
-            State::Unproven | State::Leaving | State::Gone => return,
+            MemberState::Unknown | MemberState::Leaving | MemberState::Gone => return,
         }
         self.counts.suspected += u64::from(by == self.me);
         let (incarnation, epoch) = (self.view.member(at).incarnation, self.view.member(at).epoch);
-        let from = self.view.set(self.now, at, State::Suspect, incarnation, epoch);
+        let from = self.view.set(self.now, at, MemberState::Suspect, incarnation, epoch);
         self.view.contact(at).by = by;
         self.suspicions.insert(at, Suspicion { since: self.now, accusers: BTreeSet::from([by]) });
         self.record_change(at, from, cause);
@@ -44,7 +44,7 @@
 
     /// When a suspicion is over, ms: Lifeguard's fall from the longest to the shortest with the accusers.
     pub(super) fn suspicion_ends(&self, suspicion: &Suspicion) -> f64 {
-        let others = self.view.count(State::Alive).saturating_sub(1);
+        let others = self.view.count(MemberState::Alive).saturating_sub(1);
         let wanted = CONFIRMATIONS.min(others);
         let heard = suspicion.accusers.len() - 1;
         let fall = if wanted == 0 { 1.0 } else { ((heard + 1) as f64).ln() / ((wanted + 1) as f64).ln() };
@@ -60,7 +60,7 @@
         for at in due {
             // It was heard meanwhile, and has not heard that it is suspected: that is told again, not acted on.
             let since = self.suspicions[&at].since;
-            if self.view.member(at).heard > since {
+            if self.view.member(at).last_received_ms > since {
                 if let Some(suspicion) = self.suspicions.get_mut(&at) {
                     suspicion.since = self.now;
                 }
@@ -68,7 +68,7 @@
                 continue;
             }
             let (incarnation, epoch) = (self.view.member(at).incarnation, self.view.member(at).epoch);
-            self.set_state(at, State::Gone, incarnation, epoch, Cause::SuspicionOver);
+            self.set_state(at, MemberState::Gone, incarnation, epoch, Cause::SuspicionTimedOut);
         }
     }
 }
--- a/crates/fleet/src/share.rs
+++ b/crates/fleet/src/share.rs
@@ -15,7 +15,7 @@
 //! divisor in use is at least its size. `tests/share_model.rs` checks the rule over all interleavings of a small
 //! world. Vote and grant are facts that gossip carries; nobody answers anybody.
 
-use crate::bits::Bits;
+use crate::bits::MemberSet;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
     /// Number of the gateway that is voted for.
     pub leader: u16,
     /// Who voted for it, as far as is known.
-    pub votes: Bits,
+    pub voters: MemberSet,
 }
 
 /// The pool of a period.
@@ -45,7 +45,7 @@
     /// Into how many parts the pool is split.
     pub divisor: u16,
     /// Who may use one.
-    pub members: Bits,
+    pub members: MemberSet,
 }
 
 /// Votes and grants as one gateway holds them.
@@ -56,7 +56,7 @@
     most: u16,
     since: u32,
     voted: Option<Ballot>,
-    ballots: BTreeMap<(u32, u16), Bits>,
+    ballots: BTreeMap<(u32, u16), MemberSet>,
     grants: BTreeMap<u32, Grant>,
 }
 
@@ -68,7 +68,7 @@
     }
 
     /// Too many gateways for a pool: the whole is split over the roster.
-    pub fn poolless(&self) -> bool {
+    pub fn has_no_pool(&self) -> bool {
         self.size > MOST
     }
 
@@ -76,31 +76,31 @@
     /// just started does not.
     pub fn vote(&mut self, period: u32, leader: u16) {
         let next = period + 1;
-        if self.poolless()
+        if self.has_no_pool()
             || next < self.since + 2
             || self.voted.as_ref().is_some_and(|vote| vote.period >= next)
         {
             return;
         }
-        self.voted = Some(Ballot { period: next, leader, votes: Bits::default() });
+        self.voted = Some(Ballot { period: next, leader, voters: MemberSet::default() });
         self.ballots.entry((next, leader)).or_default().insert(self.me);
     }
 
     /// Takes votes that another told in this period; whether any was new.
-    pub fn hear_ballot(&mut self, period: u32, ballot: &Ballot) -> bool {
+    pub fn merge_ballot(&mut self, period: u32, ballot: &Ballot) -> bool {
         // Two leaders of a period are many; hearsay of more must not fill memory.
         let known = self.ballots.contains_key(&(ballot.period, ballot.leader));
         let room = self.ballots.len() < 8 || known;
-        if self.poolless() || ballot.leader > self.most || ballot.period != period + 1 || !room {
+        if self.has_no_pool() || ballot.leader > self.most || ballot.period != period + 1 || !room {
             return false;
         }
-        let mut votes = ballot.votes.clone();
-        votes.bound(self.most);
+        let mut votes = ballot.voters.clone();
+        votes.limit_to(self.most);
         self.ballots.entry((ballot.period, ballot.leader)).or_default().merge(&votes)
     }
 
     /// Grants the next period's pool to those that live, if this gateway leads it and has not; whether it did.
-    pub fn issue(&mut self, period: u32, living: impl FnOnce() -> Bits) -> bool {
+    pub fn issue_grant(&mut self, period: u32, living: impl FnOnce() -> MemberSet) -> bool {
         let next = period + 1;
         let led = self.ballots.get(&(next, self.me)).is_some_and(|votes| votes.count() * 2 > self.size);
         // An earlier life may have granted a period up to the one after it ended.
@@ -123,11 +123,11 @@
     }
 
     /// Takes a grant that another told; whether it was new.
-    pub fn hear_grant(&mut self, period: u32, grant: &Grant) -> bool {
+    pub fn accept_grant(&mut self, period: u32, grant: &Grant) -> bool {
         let near = grant.period <= period + 1 && grant.period + 1 >= period;
         // Fewer parts than members: no gateway of ours grants that, and believed it would pass the whole.
         let even = usize::from(grant.divisor) >= grant.members.count().max(1);
-        let fine = even && grant.leader <= self.most && !self.poolless();
+        let fine = even && grant.leader <= self.most && !self.has_no_pool();
         if !near || !fine || self.grants.contains_key(&grant.period) {
             return false;
         }
@@ -136,30 +136,30 @@
     }
 
     /// Whether it holds just this grant.
-    pub fn holds(&self, grant: &Grant) -> bool {
+    pub fn holds_grant(&self, grant: &Grant) -> bool {
         self.grants.get(&grant.period) == Some(grant)
     }
 
     /// Frees what earlier periods left.
-    pub fn forget(&mut self, period: u32) {
+    pub fn discard_before(&mut self, period: u32) {
         self.ballots.retain(|(of, _), _| *of > period);
         self.grants.retain(|of, _| *of + 1 >= period);
     }
 
     /// Into how many parts the pool is split of which this gateway may use one now; `None`: it may not.
-    pub fn pool(&self, period: u32) -> Option<u16> {
-        let mine = |of: u32| self.grants.get(&of).filter(|grant| grant.members.has(self.me));
+    pub fn pool_divisor(&self, period: u32) -> Option<u16> {
+        let mine = |of: u32| self.grants.get(&of).filter(|grant| grant.members.contains(self.me));
         mine(period.checked_sub(1)?)?;
         mine(period).map(|grant| grant.divisor)
     }
 
     /// The part of the whole that this gateway may use now, above 0 to 1.
-    pub fn part(&self, period: u32) -> f64 {
+    pub fn share(&self, period: u32) -> f64 {
         let even = 1.0 / self.size as f64;
-        if self.poolless() {
+        if self.has_no_pool() {
             return even;
         }
-        0.5 * even + self.pool(period).map_or(0.0, |divisor| 0.5 / f64::from(divisor))
+        0.5 * even + self.pool_divisor(period).map_or(0.0, |divisor| 0.5 / f64::from(divisor))
     }
 
     /// What to tell of the next period: the votes that this gateway stands by, while nothing is granted.
@@ -169,7 +169,7 @@
             return None;
         }
         let votes = self.ballots.get(&(vote.period, vote.leader))?.clone();
-        Some(Ballot { votes, ..vote.clone() })
+        Some(Ballot { voters: votes, ..vote.clone() })
     }
 
     /// The latest grant.
@@ -184,9 +184,10 @@
 
     #[test]
     fn a_grant_of_fewer_parts_than_members_is_not_believed() {
-        let grant = |divisor| Grant { period: 9, leader: 1, divisor, members: Bits::of([0, 1, 2]) };
+        let grant =
+            |divisor| Grant { period: 9, leader: 1, divisor, members: MemberSet::from_numbers([0, 1, 2]) };
         let mut shares = Shares::new(0, 4, 3, 0);
-        assert!(!shares.hear_grant(9, &grant(2)) && !shares.hear_grant(9, &grant(0)));
-        assert!(shares.hear_grant(9, &grant(3)));
+        assert!(!shares.accept_grant(9, &grant(2)) && !shares.accept_grant(9, &grant(0)));
+        assert!(shares.accept_grant(9, &grant(3)));
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -6,7 +6,7 @@
 
 /// A place in the roster.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct RosterEntry {
     /// Its number among its siblings, from 0.
     pub number: u16,
     /// Its name.
@@ -19,9 +19,9 @@
 
 /// What is held of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum MemberState {
     /// Told by the roster, never heard of.
-    Unproven,
+    Unknown,
     /// It lives.
     Alive,
     /// Some did not reach it; it has a while to say that it lives.
@@ -32,15 +32,15 @@
     Gone,
 }
 
-impl State {
+impl MemberState {
     /// Its name in figures and logs.
     pub fn name(self) -> &'static str {
         match self {
-            State::Unproven => "unproven",
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Leaving => "leaving",
-            State::Gone => "gone",
+            MemberState::Unknown => "unproven",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Leaving => "leaving",
+            MemberState::Gone => "gone",
         }
     }
 }
@@ -49,15 +49,15 @@
 #[derive(Debug, Clone)]
 pub struct Member {
     /// What is held of it.
-    pub state: State,
+    pub state: MemberState,
     /// Its life: rises with each start and with each claim that it had to take back; 0: never heard of.
     pub incarnation: u64,
     /// Epoch of its configuration, by its own word.
     pub epoch: u32,
     /// Since when it has this state, ms.
-    pub since: f64,
+    pub since_ms: f64,
     /// When a datagram of this life last came from it, ms; negative infinity: never.
-    pub heard: f64,
+    pub last_received_ms: f64,
     /// Who suspected it first.
     pub(crate) by: u16,
     /// Datagrams that may yet be taken from it, and when that was reckoned, ms.
@@ -67,24 +67,33 @@
 
 impl Member {
     fn new(now: f64) -> Member {
-        let (state, heard, mail_at) = (State::Unproven, f64::NEG_INFINITY, f64::NEG_INFINITY);
-        Member { state, incarnation: 0, epoch: 0, since: now, heard, by: 0, mail: 0.0, mail_at }
+        let (state, heard, mail_at) = (MemberState::Unknown, f64::NEG_INFINITY, f64::NEG_INFINITY);
+        Member {
+            state,
+            incarnation: 0,
+            epoch: 0,
+            since_ms: now,
+            last_received_ms: heard,
+            by: 0,
+            mail: 0.0,
+            mail_at,
+        }
     }
 
     /// What to claim of it to others; `None`: nothing is known.
     pub(crate) fn claim(&self) -> Option<Claim> {
         match self.state {
-            State::Unproven => None,
-            State::Alive => Some(Claim::Alive),
-            State::Suspect => Some(Claim::Suspect(self.by)),
-            State::Leaving => Some(Claim::Leaving),
-            State::Gone => Some(Claim::Gone),
+            MemberState::Unknown => None,
+            MemberState::Alive => Some(Claim::Alive),
+            MemberState::Suspect => Some(Claim::Suspect(self.by)),
+            MemberState::Leaving => Some(Claim::Leaving),
+            MemberState::Gone => Some(Claim::Gone),
         }
     }
 
     /// Its part of the digest: what all gateways must agree on. 0 for one never heard of.
     fn print(&self, number: u16) -> u64 {
-        if self.state == State::Unproven {
+        if self.state == MemberState::Unknown {
             return 0;
         }
         // SplitMix64's finaliser (Steele, Lea, Flood 2014) over the fields in turn.
@@ -101,19 +110,19 @@
 
 /// How many gateways live: an estimate with bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Doubt {
+pub struct LiveEstimate {
     /// So many surely did a moment ago.
-    pub least: usize,
+    pub min: usize,
     /// Most likely.
     pub likely: usize,
     /// No more than these: all that did not leave by their own word may be on the far side of a cut.
-    pub most: usize,
+    pub max: usize,
 }
 
 /// The members, in the order of their numbers.
 #[derive(Debug, Clone)]
 pub struct View {
-    places: std::sync::Arc<[Place]>,
+    places: std::sync::Arc<[RosterEntry]>,
     members: Vec<Member>,
     /// How many are in each state: asked for each suspicion and each draw, with thousands of members.
     counts: [usize; 5],
@@ -123,15 +132,15 @@
 
 impl View {
     /// Places in the order of their numbers, each once.
-    pub(crate) fn new(places: std::sync::Arc<[Place]>, now: f64) -> View {
+    pub(crate) fn new(places: std::sync::Arc<[RosterEntry]>, now: f64) -> View {
         let members: Vec<Member> = places.iter().map(|_| Member::new(now)).collect();
         let mut counts = [0; 5];
-        counts[State::Unproven as usize] = members.len();
+        counts[MemberState::Unknown as usize] = members.len();
         View { places, members, counts, digest: 0, changed: now }
     }
 
     /// Index of a number.
-    pub fn index(&self, number: u16) -> Option<usize> {
+    pub fn index_of(&self, number: u16) -> Option<usize> {
         // Numbers mostly run from 0 without a gap.
         let at = usize::from(number);
         if self.places.get(at).is_some_and(|place| place.number == number) {
@@ -141,12 +150,12 @@
     }
 
     /// Places and members.
-    pub fn members(&self) -> impl Iterator<Item = (&Place, &Member)> {
+    pub fn members(&self) -> impl Iterator<Item = (&RosterEntry, &Member)> {
         self.places.iter().zip(&self.members)
     }
 
     /// The place at an index.
-    pub fn place(&self, at: usize) -> &Place {
+    pub fn roster_entry(&self, at: usize) -> &RosterEntry {
         &self.places[at]
     }
 
@@ -166,7 +175,7 @@
     }
 
     /// Members in this state.
-    pub fn count(&self, state: State) -> usize {
+    pub fn count(&self, state: MemberState) -> usize {
         self.counts[state as usize]
     }
 
@@ -177,7 +186,7 @@
     }
 
     /// When it last changed, ms.
-    pub fn changed(&self) -> f64 {
+    pub fn last_change_ms(&self) -> f64 {
         self.changed
     }
 
@@ -195,12 +204,19 @@
     }
 
     /// Changes a member; the digest follows. Returns its former state.
-    pub(crate) fn set(&mut self, now: f64, at: usize, state: State, incarnation: u64, epoch: u32) -> State {
+    pub(crate) fn set(
+        &mut self,
+        now: f64,
+        at: usize,
+        state: MemberState,
+        incarnation: u64,
+        epoch: u32,
+    ) -> MemberState {
         let number = self.places[at].number;
         let member = &mut self.members[at];
         let (former, before) = (member.state, member.print(number));
         if former != state || member.incarnation != incarnation {
-            member.since = now;
+            member.since_ms = now;
         }
         self.counts[former as usize] -= 1;
         self.counts[state as usize] += 1;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Most bytes of a datagram, by the protocol page: a longer one is never made and never read.
-pub const MOST_BYTES: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Version of the datagrams: another one is dropped whole, for what it would mean is not known.
-pub const VERSION: u8 = 1;
+pub const PROTOCOL_VERSION: u8 = 1;
 /// Bytes of the version and the checksum.
 const FRAME: usize = 5;
 
@@ -55,8 +55,8 @@
         base.wrapping_add(self.ahead as u64)
     }
 
-    pub(crate) fn bytes(&self) -> usize {
-        postcard::to_allocvec(self).map_or(MOST_BYTES, |bytes| bytes.len())
+    pub(crate) fn byte_len(&self) -> usize {
+        postcard::to_allocvec(self).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
     }
 }
 
@@ -108,28 +108,28 @@
 impl Packet {
     /// Bytes that are left for news.
     pub(crate) fn room(&self) -> usize {
-        let head = postcard::to_allocvec(self).map_or(MOST_BYTES, |bytes| bytes.len());
+        let head = postcard::to_allocvec(self).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
         // The number of news may take a byte more than an empty list's.
-        (MOST_BYTES - FRAME).saturating_sub(head + 1)
+        (MAX_DATAGRAM_BYTES - FRAME).saturating_sub(head + 1)
     }
 
     /// The datagram; `None` if it would be too long, which the caller's bounds rule out.
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
-        let mut bytes = vec![VERSION];
+        let mut bytes = vec![PROTOCOL_VERSION];
         bytes.extend(postcard::to_allocvec(self).ok()?);
         bytes.extend(crc32c::crc32c(&bytes).to_le_bytes());
-        (bytes.len() <= MOST_BYTES).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     pub(crate) fn decode(bytes: &[u8]) -> Result<Packet, Unreadable> {
-        if bytes.len() <= FRAME || bytes.len() > MOST_BYTES {
+        if bytes.len() <= FRAME || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Unreadable::Damaged);
         }
         let (head, sum) = bytes.split_at(bytes.len() - 4);
         if crc32c::crc32c(head).to_le_bytes() != sum {
             return Err(Unreadable::Damaged);
         }
-        if head[0] != VERSION {
+        if head[0] != PROTOCOL_VERSION {
             return Err(Unreadable::Version);
         }
         match postcard::take_from_bytes::<Packet>(&head[1..]) {
@@ -173,7 +173,7 @@
             assert_eq!(Packet::decode(&other), Err(Unreadable::Damaged), "bit {bit}");
         }
         let mut later = bytes[..bytes.len() - 4].to_vec();
-        later[0] = VERSION + 1;
+        later[0] = PROTOCOL_VERSION + 1;
         later.extend(crc32c::crc32c(&later).to_le_bytes());
         assert_eq!(Packet::decode(&later), Err(Unreadable::Version));
         assert_eq!(packet(200).encode(), None, "too long is not made");
@@ -183,7 +183,7 @@
         #[test]
         fn noise_is_turned_down_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
             let mut summed = bytes.clone();
-            summed.insert(0, VERSION);
+            summed.insert(0, PROTOCOL_VERSION);
             let sum = crc32c::crc32c(&summed);
             summed.extend(sum.to_le_bytes());
             let _ = Packet::decode(&summed);
--- a/crates/fleet/tests/reference.rs
+++ b/crates/fleet/tests/reference.rs
@@ -1,11 +1,11 @@
 //! The membership machine against a reference that knows who really lives, over drawn sequences of faults that shrink
-//! to the fewest when one fails. The reference is `World::agrees`: after the last fault ends all that live hold one
+//! to the fewest when one fails. The reference is `Simulation::agrees`: after the last fault ends all that live hold one
 //! view, and it is the truth; parts are checked against the whole all along.
 
 mod world;
 
 use proptest::prelude::*;
-use world::{Faults, World, CALM};
+use world::{Faults, Simulation, CALM};
 
 const SIZE: usize = 5;
 
@@ -48,7 +48,7 @@
         seed in any::<u64>(),
         ops in proptest::collection::vec(op(), 1..24),
     ) {
-        let mut world = World::new(SIZE, seed);
+        let mut world = Simulation::new(SIZE, seed);
         (0..SIZE).for_each(|at| world.start(at));
         for op in ops {
             match op {
@@ -63,7 +63,7 @@
                 }
                 Op::Loss(part) => world.faults = Faults { loss: f64::from(part) / 100.0, ..CALM },
                 Op::Leave(at) => world.with(at, |fleet, now| fleet.leave(now)),
-                Op::Stay(at) => world.with(at, |fleet, now| fleet.stay(now)),
+                Op::Stay(at) => world.with(at, |fleet, now| fleet.cancel_leave(now)),
                 Op::Epoch(at, epoch) => world.with(at, |fleet, now| fleet.set_epoch(now, epoch)),
                 Op::Run(ms) => world.run(f64::from(ms)),
             }
@@ -72,7 +72,7 @@
         world.side.fill(0);
         world.cut.clear();
         world.faults = CALM;
-        (0..SIZE).for_each(|at| world.with(at, |fleet, now| fleet.stay(now)));
+        (0..SIZE).for_each(|at| world.with(at, |fleet, now| fleet.cancel_leave(now)));
         // A hang may still be under way.
         world.run(12_000.0);
         prop_assert!(world.settle(12_000.0).is_some(), "not settled\n{}", world.tell());
--- a/crates/fleet/tests/share_model.rs
+++ b/crates/fleet/tests/share_model.rs
@@ -6,7 +6,7 @@
 //! when it grants (with fewer it does not grant, which is also among the acts), and the third gateway, which never
 //! leads, hears every grant as soon as its clock lets it (with fewer it uses less).
 
-use nickeljunction_fleet::{Ballot, Bits, Grant, Shares};
+use nickeljunction_fleet::{Ballot, Grant, MemberSet, Shares};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -57,10 +57,10 @@
         if self.careless {
             let came = world.came.contains(&(at, period));
             let grant = world.grants.iter().find(|grant| grant.period == period && came);
-            let grant = grant.filter(|grant| grant.members.has(at as u16));
+            let grant = grant.filter(|grant| grant.members.contains(at as u16));
             return grant.map_or(0.0, |grant| 1.0 / f64::from(grant.divisor));
         }
-        world.shares[at].pool(period).map_or(0.0, |divisor| 1.0 / f64::from(divisor))
+        world.shares[at].pool_divisor(period).map_or(0.0, |divisor| 1.0 / f64::from(divisor))
     }
 }
 
@@ -74,7 +74,7 @@
         let (clocks, hung) = ([1; SIZE], [false; SIZE]);
         let mut worlds = Vec::new();
         for set in self.first.iter().copied() {
-            let members = Bits::of((0..3).filter(|number| set & (1 << number) != 0));
+            let members = MemberSet::from_numbers((0..3).filter(|number| set & (1 << number) != 0));
             let least = members.count() as u16;
             let divisor = least;
             for missed in [0, 1] {
@@ -82,7 +82,7 @@
                 let mut shares = [0, 1, 2].map(|me| Shares::new(me, SIZE, 2, 0));
                 let mut came = BTreeSet::new();
                 for (at, own) in shares.iter_mut().enumerate().filter(|(at, _)| missed & (1 << at) == 0) {
-                    assert!(own.hear_grant(1, &grant));
+                    assert!(own.accept_grant(1, &grant));
                     came.insert((at, 1));
                 }
                 let (votes, grants) = (BTreeSet::new(), BTreeSet::from([grant]));
@@ -136,7 +136,7 @@
         match act {
             Act::Advance(at) => {
                 world.clocks[at] += 1;
-                world.shares[at].forget(world.clocks[at]);
+                world.shares[at].discard_before(world.clocks[at]);
             }
             Act::Hang(at) => {
                 world.hung[at] = true;
@@ -146,7 +146,7 @@
                 // It looks at the clock, which went on without it.
                 world.clocks[at] = world.clocks.iter().copied().max().unwrap_or(0);
                 world.hung[at] = false;
-                world.shares[at].forget(world.clocks[at]);
+                world.shares[at].discard_before(world.clocks[at]);
             }
             Act::Restart(at) => {
                 world.shares[at] = Shares::new(at as u16, SIZE, 2, world.clocks[at]);
@@ -164,14 +164,18 @@
             }
             Act::Issue(at, others) => {
                 let clock = world.clocks[at];
-                let living = Bits::of(others.into_iter().chain([at as u16]));
+                let living = MemberSet::from_numbers(others.into_iter().chain([at as u16]));
                 for (voter, period, leader) in &last.votes {
                     if usize::from(*leader) == at && *period == clock + 1 {
-                        let ballot = Ballot { period: *period, leader: *leader, votes: Bits::of([*voter]) };
-                        world.shares[at].hear_ballot(clock, &ballot);
+                        let ballot = Ballot {
+                            period: *period,
+                            leader: *leader,
+                            voters: MemberSet::from_numbers([*voter]),
+                        };
+                        world.shares[at].merge_ballot(clock, &ballot);
                     }
                 }
-                if !world.shares[at].issue(clock, || living.clone()) {
+                if !world.shares[at].issue_grant(clock, || living.clone()) {
                     return None;
                 }
                 let divisors = 1..=SIZE as u16;
@@ -183,12 +187,12 @@
                     divisor,
                     members: members.clone(),
                 });
-                let held = issued.into_iter().find(|grant| world.shares[at].holds(grant));
+                let held = issued.into_iter().find(|grant| world.shares[at].holds_grant(grant));
                 world.grants.insert(held.expect("it holds what it issued"));
                 world.came.insert((at, clock + 1));
             }
             Act::HearGrant(at, grant) => {
-                if !world.shares[at].hear_grant(world.clocks[at], &grant) {
+                if !world.shares[at].accept_grant(world.clocks[at], &grant) {
                     return None;
                 }
                 world.came.insert((at, grant.period));
@@ -196,7 +200,7 @@
         }
         for grant in &world.grants {
             let third = SIZE - 1;
-            if !world.hung[third] && world.shares[third].hear_grant(world.clocks[third], grant) {
+            if !world.hung[third] && world.shares[third].accept_grant(world.clocks[third], grant) {
                 world.came.insert((third, grant.period));
             }
         }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use nickeljunction_fleet::{Change, Fleet, Place, State};
+use nickeljunction_fleet::{Change, MemberState, Membership, RosterEntry};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 use std::sync::Arc;
@@ -34,9 +34,9 @@
     Arrive { to: usize, from: u16, bytes: Vec<u8> },
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: f64,
-    pub machines: Vec<Option<Fleet>>,
+    pub machines: Vec<Option<Membership>>,
     pub faults: Faults,
     /// Which side of a cut each stands on; only equal sides reach one another.
     pub side: Vec<u8>,
@@ -52,8 +52,8 @@
     /// The last datagram that was carried to member 0, and who sent it.
     pub last: Option<(u16, Vec<u8>)>,
     pub rng: fastrand::Rng,
-    places: Arc<[Place]>,
-    mail_per_s: f64,
+    places: Arc<[RosterEntry]>,
+    max_received_per_s: f64,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     number: u64,
     due: Vec<f64>,
@@ -65,16 +65,16 @@
     pub check_parts: bool,
 }
 
-impl World {
+impl Simulation {
     /// A world of so many places, nobody started.
-    pub fn new(size: usize, seed: u64) -> World {
-        let place = |number: usize| Place {
+    pub fn new(size: usize, seed: u64) -> Simulation {
+        let place = |number: usize| RosterEntry {
             number: number as u16,
             name: format!("n{number}"),
             address: None,
             zone: String::new(),
         };
-        World {
+        Simulation {
             now: START_MS,
             machines: (0..size).map(|_| None).collect(),
             faults: CALM,
@@ -87,7 +87,7 @@
             last: None,
             rng: fastrand::Rng::with_seed(seed),
             places: (0..size).map(place).collect(),
-            mail_per_s: 100.0,
+            max_received_per_s: 100.0,
             queue: BinaryHeap::new(),
             number: 0,
             due: vec![f64::INFINITY; size],
@@ -100,8 +100,8 @@
     }
 
     /// The same with all started at once and settled.
-    pub fn settled(size: usize, seed: u64) -> World {
-        let mut world = World::new(size, seed);
+    pub fn settled(size: usize, seed: u64) -> Simulation {
+        let mut world = Simulation::new(size, seed);
         (0..size).for_each(|at| world.start(at));
         let took = world.settle(60_000.0);
         assert!(took.is_some(), "{size} gateways do not settle after a start, seed {seed}\n{}", world.tell());
@@ -111,8 +111,15 @@
     pub fn start(&mut self, at: usize) {
         let seed = self.rng.u64(..);
         let now = self.now + self.skew[at];
-        let fleet =
-            Fleet::with(at as u16, self.places.clone(), self.mail_per_s, 1, seed, now).expect("a roster");
+        let fleet = Membership::with_shared_roster(
+            at as u16,
+            self.places.clone(),
+            self.max_received_per_s,
+            1,
+            seed,
+            now,
+        )
+        .expect("a roster");
         self.machines[at] = Some(fleet);
         self.hung_until[at] = f64::NEG_INFINITY;
         self.waiting[at].clear();
@@ -135,7 +142,7 @@
     }
 
     /// Something is told to a machine.
-    pub fn with(&mut self, at: usize, tell: impl FnOnce(&mut Fleet, f64)) {
+    pub fn with(&mut self, at: usize, tell: impl FnOnce(&mut Membership, f64)) {
         let now = self.now + self.skew[at];
         if let Some(fleet) = &mut self.machines[at] {
             tell(fleet, now);
@@ -147,11 +154,11 @@
         (0..self.machines.len()).filter(|at| self.machines[*at].is_some()).collect()
     }
 
-    pub fn fleet(&self, at: usize) -> &Fleet {
+    pub fn fleet(&self, at: usize) -> &Membership {
         self.machines[at].as_ref().expect("it runs")
     }
 
-    pub fn state(&self, seen_by: usize, at: usize) -> State {
+    pub fn state(&self, seen_by: usize, at: usize) -> MemberState {
         self.fleet(seen_by).view().member(at).state
     }
 
@@ -164,11 +171,11 @@
     /// Carries out what a machine wants after it was told something.
     fn after(&mut self, at: usize) {
         let Some(fleet) = &mut self.machines[at] else { return };
-        while let Some(change) = fleet.change() {
+        while let Some(change) = fleet.next_change() {
             self.changes.push((at, change));
         }
         let mut out = Vec::new();
-        while let Some(datagram) = fleet.transmit() {
+        while let Some(datagram) = fleet.next_datagram() {
             out.push(datagram);
         }
         let due = fleet.next_tick() - self.skew[at];
@@ -262,7 +269,7 @@
         self.checked = self.now;
         let parts: f64 = (0..self.machines.len())
             .filter(|at| !self.hung(*at))
-            .filter_map(|at| Some(self.machines[at].as_ref()?.part(self.now + self.skew[at])))
+            .filter_map(|at| Some(self.machines[at].as_ref()?.share(self.now + self.skew[at])))
             .sum();
         self.most_parts = self.most_parts.max(parts);
         assert!(parts < 1.0 + 1e-9, "parts add up to {parts} at {} ms", self.now - START_MS);
@@ -280,9 +287,9 @@
             let state = self.state(*first, at);
             // A suspect is no settled view: it may yet be either.
             if self.machines[at].is_some() {
-                state == State::Alive
+                state == MemberState::Alive
             } else {
-                !matches!(state, State::Alive | State::Suspect)
+                !matches!(state, MemberState::Alive | MemberState::Suspect)
             }
         })
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,9 +1,9 @@
-//! Drives the view of the fleet: one UDP socket, its datagrams into [`Fleet`] and its own out, bounded work a turn.
+//! Drives the view of the fleet: one UDP socket, its datagrams into [`Membership`] and its own out, bounded work a turn.
 //! Nothing is decided here. Off, and without a socket, unless the operators' document has `daemon.fleet`.
 
 use crate::config::{Config, Peers as Told};
 use nickeljunction_config::document::FleetView;
-use nickeljunction_fleet::{Cause, Dropped, Fleet, Place, State, MOST_BYTES};
+use nickeljunction_fleet::{Cause, DropReason, MemberState, Membership, RosterEntry, MAX_DATAGRAM_BYTES};
 use nickeljunction_net::wheel::Wheel;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
 
 /// The view of the fleet and its socket.
 pub struct Peers {
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<Membership>,
     /// The latest changes, each with its number.
     recent: RefCell<VecDeque<Value>>,
     told: Cell<u64>,
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// A line naming the key, and what is wanted there.
-fn roster(section: &FleetView, told: &Told, me: usize) -> Result<(Vec<Place>, SocketAddr), String> {
+fn roster(section: &FleetView, told: &Told, me: usize) -> Result<(Vec<RosterEntry>, SocketAddr), String> {
     if told.may_tell == Some(false) {
         return Err(fail(
             "",
@@ -55,12 +55,12 @@
         let address = Some(named(&format!(".members[{at}].address"), &member.address)?);
         let name = if member.name.is_empty() { format!("n{}", member.number) } else { member.name.clone() };
         let number = member.number as u16;
-        roster.push(Place { number, name, address, zone: member.zone.clone() });
+        roster.push(RosterEntry { number, name, address, zone: member.zone.clone() });
     }
     if section.members.is_empty() {
         for (number, address) in told.addresses.iter().enumerate() {
             let (number, name) = (number as u16, format!("n{number}"));
-            roster.push(Place { number, name, address: Some(*address), zone: String::new() });
+            roster.push(RosterEntry { number, name, address: Some(*address), zone: String::new() });
         }
     }
     let own = roster.iter().find(|place| usize::from(place.number) == me).and_then(|place| place.address);
@@ -107,8 +107,14 @@
         let me = config.settings.gateway_index as u16;
         // The configuration's seed may be the same at each start on installations of our own.
         let seed = config.seed ^ wheel.now().to_bits() ^ u64::from(std::process::id()) << 40;
-        let config = nickeljunction_fleet::Config { me, roster, mail_per_s, epoch, seed };
-        let fleet = Fleet::new(config, wheel.now()).map_err(|why| fail(".members", &why.to_string()))?;
+        let config = nickeljunction_fleet::Config {
+            own_number: me,
+            roster,
+            max_received_per_s: mail_per_s,
+            epoch,
+            seed,
+        };
+        let fleet = Membership::new(config, wheel.now()).map_err(|why| fail(".members", &why.to_string()))?;
         let bind = || {
             let socket = std::net::UdpSocket::bind(listen)?;
             socket.set_nonblocking(true)?;
@@ -132,7 +138,7 @@
     /// Keeps the view for as long as it is polled.
     pub async fn run(self: Rc<Self>) {
         // One byte more than a datagram may have: a longer one shows by filling it.
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             self.flush();
             let due = self.fleet.borrow().next_tick();
@@ -151,7 +157,7 @@
                         let mut fleet = self.fleet.borrow_mut();
                         match self.numbers.get(&from) {
                             Some(number) => fleet.receive(self.wheel.now(), *number, &buffer[..length]),
-                            None => fleet.stranger(),
+                            None => fleet.count_unknown_sender(),
                         }
                     }
                 }
@@ -164,19 +170,22 @@
     /// Sends what is to be sent, and tells what changed.
     fn flush(&self) {
         let mut fleet = self.fleet.borrow_mut();
-        while let Some((to, bytes)) = fleet.transmit() {
+        while let Some((to, bytes)) = fleet.next_datagram() {
             if let Some(address) = self.addresses.get(&to) {
                 // A full socket loses a datagram, as the network may.
                 let _ = self.socket.try_send_to(&bytes, *address);
             }
         }
-        while let Some(change) = fleet.change() {
+        while let Some(change) = fleet.next_change() {
             let view = fleet.view();
-            let name = view.index(change.number).map_or("", |at| &view.place(at).name);
+            let name = view.index_of(change.number).map_or("", |at| &view.roster_entry(at).name);
             let cause = cause(change.cause);
             let (member, from, to) = (change.number, change.from.name(), change.to.name());
             match change.cause {
-                Cause::Rival | Cause::Yields | Cause::ClockWentBack | Cause::Hung(_) => {
+                Cause::DuplicateNumber
+                | Cause::YieldedNumber
+                | Cause::ClockWentBackwards
+                | Cause::Hung(_) => {
                     tracing::warn!(member, name, from, to, cause, "fleet");
                 }
                 _ => tracing::info!(member, name, from, to, cause, "fleet"),
@@ -187,13 +196,13 @@
             }
             self.told.set(self.told.get() + 1);
             recent.push_back(json!({
-                "nr": self.told.get(), "at": change.at, "member": member, "name": name, "from": from, "to": to,
+                "nr": self.told.get(), "at": change.at_ms, "member": member, "name": name, "from": from, "to": to,
                 "cause": cause,
             }));
         }
     }
 
-    fn tell(&self, what: impl FnOnce(&mut Fleet, f64)) {
+    fn tell(&self, what: impl FnOnce(&mut Membership, f64)) {
         what(&mut self.fleet.borrow_mut(), self.wheel.now());
         self.flush();
         self.stir.notify_one();
@@ -206,7 +215,7 @@
 
     /// It does not leave after all.
     pub fn stay(&self) {
-        self.tell(|fleet, now| fleet.stay(now));
+        self.tell(|fleet, now| fleet.cancel_leave(now));
     }
 
     /// Another document is in force.
@@ -217,7 +226,7 @@
     /// With how many gateways this one has to reckon at a service that all share: one over its part.
     pub fn gateways(&self) -> f64 {
         let fleet = self.fleet.borrow();
-        let part = fleet.part(self.wheel.now());
+        let part = fleet.share(self.wheel.now());
         // One that yields its number has no part; it goes on as the least of all.
         if part > 0.0 {
             1.0 / part
@@ -231,7 +240,7 @@
         let now = self.wheel.now();
         let fleet = self.fleet.borrow();
         let view = fleet.view();
-        let (doubt, counts) = (fleet.doubt(), fleet.counts());
+        let (doubt, counts) = (fleet.live_estimate(), fleet.counts());
         let ago = |at: f64| at.is_finite().then(|| ((now - at) / 1_000.0).max(0.0));
         let members: Vec<Value> = view
             .members()
@@ -240,25 +249,31 @@
                     "number": place.number, "name": place.name, "zone": place.zone,
                     "address": place.address.map(|address| address.to_string()),
                     "state": member.state.name(), "incarnation": member.incarnation, "epoch": member.epoch,
-                    "since_s": ago(member.since), "heard_s": ago(member.heard),
+                    "since_s": ago(member.since_ms), "heard_s": ago(member.last_received_ms),
                 })
             })
             .collect();
         let dropped: serde_json::Map<String, Value> =
-            Dropped::ALL.iter().map(|why| (why.name().to_string(), json!(counts.dropped(*why)))).collect();
-        let states = [State::Alive, State::Suspect, State::Leaving, State::Gone, State::Unproven];
+            DropReason::ALL.iter().map(|why| (why.name().to_string(), json!(counts.dropped(*why)))).collect();
+        let states = [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Leaving,
+            MemberState::Gone,
+            MemberState::Unknown,
+        ];
         let states: serde_json::Map<String, Value> =
             states.iter().map(|state| (state.name().to_string(), json!(view.count(*state)))).collect();
         json!({
-            "me": fleet.me(), "digest": format!("{:016x}", view.digest()),
-            "quiet_s": ((now - view.changed()) / 1_000.0).max(0.0),
-            "in_doubt": fleet.in_doubt(),
-            "live": {"least": doubt.least, "likely": doubt.likely, "most": doubt.most},
-            "part": fleet.part(now), "pool_split": fleet.pool(now), "yielded": fleet.yielded(),
-            "health": fleet.health(), "states": states, "members": members,
+            "me": fleet.own_number(), "digest": format!("{:016x}", view.digest()),
+            "quiet_s": ((now - view.last_change_ms()) / 1_000.0).max(0.0),
+            "in_doubt": fleet.is_uncertain(),
+            "live": {"least": doubt.min, "likely": doubt.likely, "most": doubt.max},
+            "part": fleet.share(now), "pool_split": fleet.pool_divisor(now), "yielded": fleet.has_yielded(),
+            "health": fleet.local_health(), "states": states, "members": members,
             "sent": counts.sent, "sent_bytes": counts.sent_bytes, "received": counts.received,
-            "held_back": counts.held_back, "dropped": dropped,
-            "suspected": counts.suspected, "wrongly_gone": counts.wrongly_gone, "taken_back": counts.taken_back,
+            "held_back": counts.rate_limited, "dropped": dropped,
+            "suspected": counts.suspected, "wrongly_gone": counts.false_positives, "taken_back": counts.refuted,
             "recent": *self.recent.borrow(),
         })
     }
@@ -267,24 +282,30 @@
     pub fn figures(&self) -> String {
         use std::fmt::Write;
         let fleet = self.fleet.borrow();
-        let (view, counts, doubt) = (fleet.view(), fleet.counts(), fleet.doubt());
+        let (view, counts, doubt) = (fleet.view(), fleet.counts(), fleet.live_estimate());
         let mut text = String::new();
-        for state in [State::Alive, State::Suspect, State::Leaving, State::Gone, State::Unproven] {
+        for state in [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Leaving,
+            MemberState::Gone,
+            MemberState::Unknown,
+        ] {
             let _ = writeln!(text, "app.fleet.{}:{}|g", state.name(), view.count(state));
         }
-        for (name, value) in [("least", doubt.least), ("likely", doubt.likely), ("most", doubt.most)] {
+        for (name, value) in [("least", doubt.min), ("likely", doubt.likely), ("most", doubt.max)] {
             let _ = writeln!(text, "app.fleet.live_{name}:{value}|g");
         }
         for (name, value) in [
             ("sent", counts.sent),
             ("received", counts.received),
-            ("held_back", counts.held_back),
-            ("wrongly_gone", counts.wrongly_gone),
-            ("taken_back", counts.taken_back),
+            ("held_back", counts.rate_limited),
+            ("wrongly_gone", counts.false_positives),
+            ("taken_back", counts.refuted),
         ] {
             let _ = writeln!(text, "app.fleet.{name}:{value}|c");
         }
-        for why in Dropped::ALL {
+        for why in DropReason::ALL {
             let _ = writeln!(text, "app.fleet.dropped_{}:{}|c", why.name(), counts.dropped(why));
         }
         text
@@ -293,15 +314,17 @@
 
 fn cause(cause: Cause) -> String {
     match cause {
-        Cause::Heard => "heard from it".into(),
-        Cause::Told(by) => format!("told by {by}"),
-        Cause::NoAnswer => "no answer, nor through helpers".into(),
-        Cause::SuspicionOver => "suspected and silent for too long".into(),
-        Cause::Own => "own doing".into(),
-        Cause::TakenBack(by) => format!("was held otherwise by {by}, taken back"),
-        Cause::ClockWentBack => "an earlier life had a clock ahead of this one".into(),
-        Cause::Rival => "another process claims this number: two gateways are configured alike".into(),
-        Cause::Yields => {
+        Cause::DatagramReceived => "heard from it".into(),
+        Cause::ReportedBy(by) => format!("told by {by}"),
+        Cause::ProbeFailed => "no answer, nor through helpers".into(),
+        Cause::SuspicionTimedOut => "suspected and silent for too long".into(),
+        Cause::LocalEvent => "own doing".into(),
+        Cause::Refuted(by) => format!("was held otherwise by {by}, taken back"),
+        Cause::ClockWentBackwards => "an earlier life had a clock ahead of this one".into(),
+        Cause::DuplicateNumber => {
+            "another process claims this number: two gateways are configured alike".into()
+        }
+        Cause::YieldedNumber => {
             "another process claims this number and stays: this one says nothing more of itself".into()
         }
         Cause::Hung(ms) => format!("this process did nothing for {ms} ms"),
