--- a/crates/fleet/benches/membership.rs
+++ b/crates/fleet/benches/membership.rs
@@ -2,12 +2,12 @@
 //! is sent, and how often one that lives is held to be gone. `cargo bench -p nickeljunction-fleet --bench membership`;
 //! words after `--` choose: sizes such as `300`, `hour` for the false alarms of an hour, `detect`, `massacre`.
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use nickeljunction_fleet::MemberState;
+use simulation::{Faults, Simulation, CALM};
 use std::time::Instant;
-use world::{Faults, Simulation, CALM};
 
 /// The `part`th of a sorted list.
 fn at(sorted: &[f64], part: f64) -> f64 {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,14 +7,14 @@
 
 #![warn(unreachable_pub)]
 
-mod bits;
 mod machine;
+mod member_set;
 mod share;
 mod view;
 mod wire;
 
-pub use bits::MemberSet;
 pub use machine::{Cause, Change, Config, Counts, DropReason, InvalidRoster, Membership};
+pub use member_set::MemberSet;
 pub use share::{Ballot, Grant, Shares, PERIOD_MS};
 pub use view::{LiveEstimate, Member, MemberState, RosterEntry, View};
 pub use wire::{MAX_DATAGRAM_BYTES, PROTOCOL_VERSION};
--- a/crates/fleet/src/machine/grants.rs
+++ b/crates/fleet/src/machine/grants.rs
@@ -1,7 +1,7 @@
 //! Votes and grants by which the gateways split a whole among them.
 
 use super::Membership;
-use crate::bits::MemberSet;
+use crate::member_set::MemberSet;
 use crate::share::PERIOD_MS;
 use crate::view::MemberState;
 use crate::wire::Packet;
--- a/crates/fleet/src/machine/mod.rs
+++ b/crates/fleet/src/machine/mod.rs
@@ -10,18 +10,18 @@
 //! - `suspicion`: from no answer to a member that is gone
 //! - `claims`: what others say of a member, and of this gateway
 //! - `gossip`: spreading news
-//! - `digest`: repair of views that differ
+//! - `anti_entropy`: repair of views that differ
 //! - `grants`: votes and grants of shares
 //! - `datagrams`: receiving, answering, sending
 //! - `change`, `counts`, `config`: the types of the machine's interface
 //! - `pending`, `parameters`: what it waits for, and figures of the protocol
 
+mod anti_entropy;
 mod change;
 mod claims;
 mod config;
 mod counts;
 mod datagrams;
-mod digest;
 mod gossip;
 mod grants;
 mod parameters;
--- a/crates/fleet/src/share.rs
+++ b/crates/fleet/src/share.rs
@@ -15,7 +15,7 @@
 //! divisor in use is at least its size. `tests/share_model.rs` checks the rule over all interleavings of a small
 //! world. Vote and grant are facts that gossip carries; nobody answers anybody.
 
-use crate::bits::MemberSet;
+use crate::member_set::MemberSet;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,9 +1,9 @@
 //! Membership in virtual time: every fault by its name, and storms of many seeds.
 
-mod world;
+mod simulation;
 
 use nickeljunction_fleet::{Cause, Config, DropReason, MemberState, Membership, RosterEntry};
-use world::{Faults, Simulation, CALM, START_MS};
+use simulation::{Faults, Simulation, CALM, START_MS};
 
 /// Longest time until views are equal after a fault ended, ms, in fleets of this file's sizes.
 const SETTLES_MS: f64 = 12_000.0;
--- a/crates/fleet/tests/reference.rs
+++ b/crates/fleet/tests/reference.rs
@@ -2,10 +2,10 @@
 //! to the fewest when one fails. The reference is `Simulation::agrees`: after the last fault ends all that live hold one
 //! view, and it is the truth; parts are checked against the whole all along.
 
-mod world;
+mod simulation;
 
 use proptest::prelude::*;
-use world::{Faults, Simulation, CALM};
+use simulation::{Faults, Simulation, CALM};
 
 const SIZE: usize = 5;
 
