--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -16,8 +16,8 @@
 use nickeljunction_net::wheel::Wheel;
 use nickeljunction_registry::{ApplyError, CatalogUpdate, Heartbeat, WatchCache};
 use nickeljunction_replica::{
-    Answer, Change, Claimed, CoreView, Effects, Held, Lent, OperationView, Place, Replica, Round, Ticket,
-    TrialView, Wish,
+    Answer, Change, ClaimReply, CoreView, Effects, HeldWatch, MemberConfig, MembershipRequest, OperationView,
+    PendingAck, Replica, Ticket, TrialView, UnitsReply,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
 /// See the module.
 pub struct Driver {
     /// This process.
-    pub place: Rc<Place>,
+    pub place: Rc<MemberConfig>,
     /// See there.
     pub ports: Ports,
     wheel: Wheel,
@@ -64,7 +64,7 @@
     fn drop(&mut self) {
         let Waiting(driver, ticket) = self;
         if driver.waits.borrow_mut().remove(ticket).is_some() {
-            driver.house.borrow_mut().leave_off(*ticket);
+            driver.house.borrow_mut().cancel(*ticket);
         }
     }
 }
@@ -73,7 +73,7 @@
     /// A member that has loaded its disk. `disk` takes writes in order; what became of each is told to
     /// [`Driver::written`].
     pub fn new(
-        place: Rc<Place>,
+        place: Rc<MemberConfig>,
         ports: Ports,
         wheel: Wheel,
         house: Replica,
@@ -102,7 +102,7 @@
     /// What was known of servers and gateways when this machine's process before ended.
     pub fn remember(&self, copy: WatchCache) {
         log::info!("event=hint_loaded term={} servers={}", copy.term(), copy.catalog().servers.len());
-        self.house.borrow_mut().remember(copy);
+        self.house.borrow_mut().load_watch_cache(copy);
     }
 
     /// The steady clock, whole ms.
@@ -130,7 +130,7 @@
     /// Messages of other members came in.
     pub fn heard(&self, messages: Vec<Envelope>) {
         self.syncs.heard(messages.len());
-        self.turn(|house, now| house.heard(now, messages));
+        self.turn(|house, now| house.receive(now, messages));
     }
 
     /// What became of a write, and how long it took, microseconds.
@@ -141,7 +141,7 @@
 
     /// Other hosts where members may be found, for one that isn't a member.
     pub fn seek(&self, hosts: Vec<String>) {
-        self.turn(|house, now| house.seek(now, &hosts));
+        self.turn(|house, now| house.add_seed_hosts(now, &hosts));
     }
 
     /// The process is about to end: waits until another machine that stands by has taken its place, or none does, for
@@ -149,7 +149,7 @@
     pub async fn leave(&self, most_ms: u64) {
         self.turn(|house, now| house.leave(now));
         let until = self.now() + most_ms;
-        while !self.house.borrow().book().may_stop() && self.now() < until {
+        while !self.house.borrow().consensus().may_stop() && self.now() < until {
             self.wheel.sleep(LEAVE_LOOK_MS).await;
         }
     }
@@ -164,7 +164,7 @@
         let now = self.now();
         let mut house = self.house.borrow_mut();
         let result = act(&mut house, now);
-        let effects = house.take();
+        let effects = house.take_effects();
         drop(house);
         self.carry_out(effects);
         result
@@ -183,13 +183,15 @@
                 let _ = wait.send(answer);
             }
         }
-        if let Some(text) = effects.hint.and_then(|copy| hint::text(&copy, hint::Moment::now())) {
+        if let Some(text) =
+            effects.watch_cache_to_save.and_then(|copy| hint::text(&copy, hint::Moment::now()))
+        {
             let _ = self.disk.send(Job::Hint(text));
         }
         if effects.changed {
             self.changed.notify_waiters();
         }
-        if effects.sooner {
+        if effects.wake_changed {
             self.sooner.notify_one();
         }
     }
@@ -207,7 +209,7 @@
         let waiting = Waiting(self, ticket);
         let answer = told.await;
         drop(waiting);
-        answer.unwrap_or_else(|_| Answer::Elsewhere(self.elsewhere()))
+        answer.unwrap_or_else(|_| Answer::NotLeader(self.elsewhere()))
     }
 
     /// Waits until a majority has confirmed this member's lead after now, then gives the configuration and its version.
@@ -223,19 +225,19 @@
                 let house = self.house.borrow();
                 Ok(look(house.state().version(), house.state().doc()))
             }
-            Answer::Elsewhere(elsewhere) => Err(elsewhere),
+            Answer::NotLeader(elsewhere) => Err(elsewhere),
             _ => Err(self.elsewhere()),
         }
     }
 
     /// An operator's change of the configuration.
     pub async fn change(&self, change: Change) -> Answer {
-        self.wait(|house, now| house.change(now, change)).await
+        self.wait(|house, now| house.change_config(now, change)).await
     }
 
     /// An operator's order on who is a member of the core.
-    pub async fn order(&self, wish: Wish) -> Answer {
-        self.wait(|house, now| house.order(now, wish)).await
+    pub async fn order(&self, wish: MembershipRequest) -> Answer {
+        self.wait(|house, now| house.change_membership(now, wish)).await
     }
 
     /// The core's machines as this member, which leads, sees them.
@@ -245,18 +247,18 @@
 
     /// A zone is evacuated, or taken back.
     pub async fn zone(&self, zone: &str, back: bool) -> Answer {
-        self.wait(|house, now| house.zone(now, zone.to_owned(), back)).await
+        self.wait(|house, now| house.change_evacuation(now, zone.to_owned(), back)).await
     }
 
     /// A tenant's trial is to lapse, or else to be restored.
     pub async fn trial(&self, tenant: &str, lapse: bool) -> Answer {
-        self.wait(|house, now| house.trial(now, tenant.to_owned(), lapse)).await
+        self.wait(|house, now| house.change_trial(now, tenant.to_owned(), lapse)).await
     }
 
     /// The trials of all tenants as this member, which leads, sees them.
     pub fn trials(&self) -> BTreeMap<String, TrialView> {
         let now = self.now();
-        self.house.borrow_mut().trials(now)
+        self.house.borrow_mut().trial_views(now)
     }
 
     /// All keyed operations as this member, which leads, knows them, and the claims that it answered since its start.
@@ -283,22 +285,22 @@
     pub async fn units(&self, call: &UnitsCall) -> Result<UnitsAnswer, LeaderRedirect> {
         let (done, told) = oneshot::channel();
         let lent = self.turn(|house, now| {
-            let lent = house.units(now, call);
-            if let Ok(Lent::Later(ticket)) = lent {
+            let lent = house.request_units(now, call);
+            if let Ok(UnitsReply::Pending(ticket)) = lent {
                 self.waits.borrow_mut().insert(ticket, done);
             }
             lent
         });
         let ticket = match lent? {
-            Lent::Now(answer) => return Ok(answer),
-            Lent::Later(ticket) => ticket,
+            UnitsReply::Immediate(answer) => return Ok(answer),
+            UnitsReply::Pending(ticket) => ticket,
         };
         let waiting = Waiting(self, ticket);
         let answer = told.await;
         drop(waiting);
         match answer {
             Ok(Answer::Units(answer)) => Ok(answer),
-            Ok(Answer::Elsewhere(elsewhere)) => Err(elsewhere),
+            Ok(Answer::NotLeader(elsewhere)) => Err(elsewhere),
             _ => Err(self.elsewhere()),
         }
     }
@@ -311,20 +313,20 @@
         let (done, told) = oneshot::channel();
         let claimed = self.turn(|house, now| {
             let claimed = house.claim(now, call);
-            if let Ok(Claimed::Later(ticket)) = claimed {
+            if let Ok(ClaimReply::Pending(ticket)) = claimed {
                 self.waits.borrow_mut().insert(ticket, done);
             }
             claimed
         });
         let answer = match claimed? {
-            Claimed::Now(answer) => Some(answer),
-            Claimed::Later(ticket) => {
+            ClaimReply::Immediate(answer) => Some(answer),
+            ClaimReply::Pending(ticket) => {
                 let waiting = Waiting(self, ticket);
                 let answer = told.await;
                 drop(waiting);
                 match answer {
                     Ok(Answer::Claim(answer)) => Some(answer),
-                    Ok(Answer::Elsewhere(elsewhere)) => return Err(elsewhere),
+                    Ok(Answer::NotLeader(elsewhere)) => return Err(elsewhere),
                     _ => None,
                 }
             }
@@ -338,58 +340,58 @@
     /// # Errors
     /// See above.
     pub fn ebb(&self, call: &PaceSharesCall) -> Result<PaceSharesAnswer, LeaderRedirect> {
-        self.turn(|house, now| house.ebb(now, call))
+        self.turn(|house, now| house.request_pace_shares(now, call))
     }
 
     /// A watch call came.
     ///
     /// # Errors
     /// See above, as in all of these.
-    pub fn called(&self, call: &WatchCall) -> Result<Held, LeaderRedirect> {
-        self.turn(|house, now| house.called(now, call))
+    pub fn called(&self, call: &WatchCall) -> Result<HeldWatch, LeaderRedirect> {
+        self.turn(|house, now| house.begin_watch(now, call))
     }
 
     /// What a watch call gets now; `None`: it is to be held.
     ///
     /// # Errors
     /// See above.
-    pub fn watch(&self, call: &WatchCall, held: &Held) -> Result<Option<WatchAnswer>, LeaderRedirect> {
-        self.turn(|house, now| house.watch(now, call, held))
+    pub fn watch(&self, call: &WatchCall, held: &HeldWatch) -> Result<Option<WatchAnswer>, LeaderRedirect> {
+        self.turn(|house, now| house.answer_watch(now, call, held))
     }
 
     /// The caller of a held watch call went away before its answer.
-    pub fn hung_up(&self, call: &WatchCall, held: &Held) {
-        self.turn(|house, now| house.hung_up(now, call, held));
+    pub fn hung_up(&self, call: &WatchCall, held: &HeldWatch) {
+        self.turn(|house, now| house.watch_disconnected(now, call, held));
     }
 
     /// A server says that it lives; a round is to be waited for.
     ///
     /// # Errors
     /// See above.
-    pub fn beat(&self, id: &str, beat: &Heartbeat) -> Result<Option<Round>, LeaderRedirect> {
-        self.turn(|house, now| house.beat(now, id, beat))
+    pub fn beat(&self, id: &str, beat: &Heartbeat) -> Result<Option<PendingAck>, LeaderRedirect> {
+        self.turn(|house, now| house.record_heartbeat(now, id, beat))
     }
 
     /// A server says that it is gone; a round is to be waited for.
     ///
     /// # Errors
     /// See above.
-    pub fn gone(&self, id: &str) -> Result<Round, LeaderRedirect> {
-        self.turn(|house, now| house.gone(now, id))
+    pub fn gone(&self, id: &str) -> Result<PendingAck, LeaderRedirect> {
+        self.turn(|house, now| house.remove_server(now, id))
     }
 
     /// Waits until a round is over; not for long.
     ///
     /// # Errors
     /// See above.
-    pub async fn come_round(&self, round: &Round) -> Result<(), LeaderRedirect> {
+    pub async fn come_round(&self, round: &PendingAck) -> Result<(), LeaderRedirect> {
         loop {
             let changed = self.changed.notified();
-            if self.turn(|house, now| house.come_round(now, round))? {
+            if self.turn(|house, now| house.ack_ready(now, round))? {
                 return Ok(());
             }
             let now = self.now();
-            self.wheel.timeout(round.look_at(now).saturating_sub(now) as f64, changed).await;
+            self.wheel.timeout(round.next_check_at(now).saturating_sub(now) as f64, changed).await;
         }
     }
 
@@ -397,12 +399,12 @@
 
     /// Who leads, as far as is known here; never this machine.
     pub fn elsewhere(&self) -> LeaderRedirect {
-        self.house.borrow().elsewhere()
+        self.house.borrow().leader_redirect()
     }
 
     /// The call that asks a leader for what is new.
     pub fn ask(&self, life: u64) -> WatchCall {
-        self.house.borrow().ask(life)
+        self.house.borrow().watch_call(life)
     }
 
     /// What a leader answered.
@@ -411,7 +413,7 @@
     /// It leads back.
     pub fn learned(&self, answer: WatchAnswer) -> Result<CatalogUpdate, ApplyError> {
         let now = self.now();
-        self.house.borrow_mut().learned(now, answer)
+        self.house.borrow_mut().apply_watch_answer(now, answer)
     }
 
     // ---- For everyone ----
@@ -424,17 +426,17 @@
     /// What operators see of this member.
     pub fn status(&self) -> serde_json::Value {
         let house = self.house.borrow();
-        let (book, state, roster) = (house.book(), house.state(), house.roster());
-        let servers = match house.leads() {
+        let (book, state, roster) = (house.consensus(), house.state(), house.roster());
+        let servers = match house.leader_state() {
             Some((register, _)) => register.server_counts(),
             None => nickeljunction_registry::count_servers(
-                house.copy().catalog().servers.values().map(|line| &**line),
+                house.watch_cache().catalog().servers.values().map(|line| &**line),
             ),
         };
         let mut shown = serde_json::json!({
             "node_name": self.place.name,
             "host": self.place.host,
-            "leads": house.leads().is_some(),
+            "leads": house.leader_state().is_some(),
             "leader": book.leader().map(|member| member.host),
             "term": book.term(),
             "commit": book.commit(),
@@ -450,7 +452,7 @@
             })).collect::<Vec<_>>(),
             "zones": self.place.zones,
         });
-        if let Some((register, counter)) = house.leads() {
+        if let Some((register, counter)) = house.leader_state() {
             crate::resources::status::add_lead(&mut shown, register, counter, self.now());
         }
         shown
--- a/crates/controller/src/driver/metrics.rs
+++ b/crates/controller/src/driver/metrics.rs
@@ -94,13 +94,23 @@
 
     fn write_agreement(&self, page: &mut Page) {
         let house = self.house.borrow();
-        let (book, state, now) = (house.book(), house.state(), self.now());
+        let (book, state, now) = (house.consensus(), house.state(), self.now());
         let flag = |is: bool| f64::from(u8::from(is));
         let gauge = Kind::Gauge;
         page.one("controller_term", gauge, "Newest term known.", book.term() as f64);
-        page.one("controller_leads", gauge, "1 where it leads and is ready.", flag(house.leads().is_some()));
+        page.one(
+            "controller_leads",
+            gauge,
+            "1 where it leads and is ready.",
+            flag(house.leader_state().is_some()),
+        );
         page.one("controller_commit", gauge, "Newest index of the log that is agreed.", book.commit() as f64);
-        page.one("controller_applied", gauge, "Newest index that is in the state.", house.applied() as f64);
+        page.one(
+            "controller_applied",
+            gauge,
+            "Newest index that is in the state.",
+            house.applied_index() as f64,
+        );
         page.one("controller_members", gauge, "Members of the core.", book.members().len() as f64);
         // A follower has none, a leader without an answer an endless one.
         page.figure(
@@ -144,7 +154,7 @@
     }
 
     fn write_disk(&self, page: &mut Page) {
-        let sick = f64::from(u8::from(self.house.borrow().book().disk_failed()));
+        let sick = f64::from(u8::from(self.house.borrow().consensus().disk_failed()));
         let seconds = |us: &Cell<u64>| us.get() as f64 / 1e6;
         page.one("controller_disk_sick", Kind::Gauge, "1 where the last write failed.", sick);
         page.one(
@@ -176,10 +186,10 @@
     fn write_register(&self, page: &mut Page) {
         let house = self.house.borrow();
         let roster = house.roster();
-        let servers = match house.leads() {
+        let servers = match house.leader_state() {
             Some((register, _)) => register.server_counts(),
             None => nickeljunction_registry::count_servers(
-                house.copy().catalog().servers.values().map(|line| &**line),
+                house.watch_cache().catalog().servers.values().map(|line| &**line),
             ),
         };
         page.figure("controller_servers", Kind::Gauge, "Lives of servers, by service and state.");
@@ -198,7 +208,8 @@
     fn write_lead(&self, page: &mut Page) {
         let house = self.house.borrow();
         let now = self.now();
-        let standings = house.leads().map_or_else(Vec::new, |(register, _)| register.gateway_statuses(now));
+        let standings =
+            house.leader_state().map_or_else(Vec::new, |(register, _)| register.gateway_statuses(now));
         page.figure(
             "controller_gateway_config_version",
             Kind::Gauge,
@@ -209,7 +220,7 @@
                 page.value(&[("gateway", &standing.line.name)], version as f64);
             }
         }
-        let units = house.leads().map(|(_, counter)| counter.usage_by_tenant(now)).unwrap_or_default();
+        let units = house.leader_state().map(|(_, counter)| counter.usage_by_tenant(now)).unwrap_or_default();
         let units: Vec<_> = units.iter().take(MOST_LABELLED).collect();
         page.figure("controller_units_cap", Kind::Gauge, "Units of a tenant in all.");
         for (tenant, of) in &units {
@@ -241,7 +252,7 @@
     use nickeljunction_net::clock::Clock;
     use nickeljunction_net::figures::well_formed;
     use nickeljunction_net::wheel::Wheel;
-    use nickeljunction_replica::{Place, Replica};
+    use nickeljunction_replica::{MemberConfig, Replica};
     use nickeljunction_schema::Bounds;
 
     /// Operators' boards go by these.
@@ -256,7 +267,7 @@
     #[test]
     fn the_page_reads_as_the_format_wants_and_names_stay() {
         let me = Member { id: bootstrap_member_id("127.0.0.1"), host: "127.0.0.1".into() };
-        let place = Rc::new(Place {
+        let place = Rc::new(MemberConfig {
             name: "core-1".into(),
             host: me.host.clone(),
             zones: Default::default(),
@@ -267,11 +278,11 @@
         let mut house = Replica::new(place.clone(), restored, Tuning::default(), 1, 0);
         for _ in 0..50 {
             house.tick(house.next_wake());
-            let writes = house.take().writes;
+            let writes = house.take_effects().writes;
             // All at one time, or its lease would be over before the wheel's clock has begun.
             writes.iter().for_each(|write| house.written(0, write.ticket, true));
         }
-        assert!(house.leads().is_some());
+        assert!(house.leader_state().is_some());
         let wheel = Wheel::new(Clock::start());
         let peers = Peers::new(Caller::new(wheel.clone()), 1);
         let (disk, _jobs) = tokio::sync::mpsc::unbounded_channel();
--- a/crates/controller/src/follow.rs
+++ b/crates/controller/src/follow.rs
@@ -4,7 +4,7 @@
 use nickeljunction_messages::{path, WatchAnswer};
 use nickeljunction_net::caller::Caller;
 use nickeljunction_net::compression;
-use nickeljunction_replica::follow::{AGAIN_MS, HOLD_MS, SLACK_MS};
+use nickeljunction_replica::follower::{ANSWER_MARGIN_MS, RETRY_MS, WATCH_HOLD_MS};
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 pub async fn run(driver: Rc<Driver>, caller: Rc<Caller>, life: u64) {
     loop {
         if !once(&driver, &caller, life).await {
-            driver.wheel().sleep(AGAIN_MS as f64).await;
+            driver.wheel().sleep(RETRY_MS as f64).await;
         }
     }
 }
@@ -24,7 +24,7 @@
     let to = SocketAddr::new(ip, driver.ports.inner);
     let ask = driver.ask(life);
     let body = serde_json::to_vec(&ask).unwrap_or_default();
-    let (headers, within_ms) = ([compression::ACCEPT], (HOLD_MS + SLACK_MS) as f64);
+    let (headers, within_ms) = ([compression::ACCEPT], (WATCH_HOLD_MS + ANSWER_MARGIN_MS) as f64);
     let reply = match caller.call(to, "POST", path::WATCH, &headers, &body, within_ms).await {
         Ok(reply) if reply.status == 200 => reply,
         Ok(_) => return false,
--- a/crates/controller/src/hint.rs
+++ b/crates/controller/src/hint.rs
@@ -6,7 +6,7 @@
 
 use nickeljunction_messages::WatchAnswer;
 use nickeljunction_registry::WatchCache;
-use nickeljunction_replica::HINT_GOOD_MS;
+use nickeljunction_replica::SAVED_CACHE_MAX_AGE_MS;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -62,7 +62,7 @@
 /// The copy that a hint makes; `None`: it is unreadable, or not of these last seconds.
 pub fn read(text: &[u8], now: Moment) -> Option<WatchCache> {
     let stored: Stored = serde_json::from_slice(text).ok()?;
-    if !now.follows(stored.at, HINT_GOOD_MS) {
+    if !now.follows(stored.at, SAVED_CACHE_MAX_AGE_MS) {
         return None;
     }
     let mut copy = WatchCache::new();
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -70,7 +70,7 @@
         };
         let body = serde_json::to_vec(&batch.messages).unwrap_or_default();
         drop(batch.messages);
-        match caller.call(to, "POST", path::CONSENSUS, &[], &body, batch.patience_ms as f64).await {
+        match caller.call(to, "POST", path::CONSENSUS, &[], &body, batch.timeout_ms as f64).await {
             Ok(_) => {}
             Err(error) => {
                 log::debug!("event=peer_silent step=consensus peer={to} error={:?}", error.to_string());
--- a/crates/controller/src/resources/config.rs
+++ b/crates/controller/src/resources/config.rs
@@ -38,12 +38,12 @@
     async fn change(&self, call: &Call, patch: bool) -> Response {
         let base = call.headers.get("if-match").and_then(if_match);
         match self.0.change(Change { patch, base, body: call.body.clone() }).await {
-            Answer::Taken => Response::empty(200),
+            Answer::Accepted => Response::empty(200),
             Answer::Conflict(Some(version)) => {
                 Response::error(412, &format!("version {version} is in place"))
             }
             Answer::Conflict(None) => Response::error(412, "another version came first"),
-            Answer::Wrong(wants) => Response::error(400, &wants),
+            Answer::Invalid(wants) => Response::error(400, &wants),
             Answer::Unknown => {
                 Response::error(503, "not known to be taken: repeat it unchanged").with("Retry-After", "0.2")
             }
@@ -52,12 +52,12 @@
                 503,
                 &format!("forgotten: version {version} is too old to tell whether it was taken"),
             ),
-            Answer::Elsewhere(elsewhere) => go_to(&self.0, call, &elsewhere),
+            Answer::NotLeader(elsewhere) => go_to(&self.0, call, &elsewhere),
             Answer::Confirmed
             | Answer::Units(_)
             | Answer::Claim(_)
-            | Answer::Unfit(_)
-            | Answer::Missing(_) => go_to(&self.0, call, &self.0.elsewhere()),
+            | Answer::MembershipRefused(_)
+            | Answer::NotFound(_) => go_to(&self.0, call, &self.0.elsewhere()),
         }
     }
 }
--- a/crates/controller/src/resources/core.rs
+++ b/crates/controller/src/resources/core.rs
@@ -5,7 +5,7 @@
 use super::{go_to, json, name_under, CORE};
 use crate::driver::Driver;
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
-use nickeljunction_replica::{Answer, Wish};
+use nickeljunction_replica::{Answer, MembershipRequest};
 use serde::Deserialize;
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -25,19 +25,19 @@
         .map_err(|_| Response::error(400, &format!("{field}: wants an IP address, got {text:?}")))
 }
 
-fn wish(call: &Call) -> Result<Wish, Response> {
+fn wish(call: &Call) -> Result<MembershipRequest, Response> {
     let Some(name) = name_under(call, CORE) else {
         return Err(Response::error(404, "wants /-/core or /-/core/HOST"));
     };
     let name = host("host", &name)?;
     match call.method.as_str() {
-        "DELETE" => Ok(Wish::Go(name)),
-        "PUT" if call.body.is_empty() => Ok(Wish::Come(name, None)),
+        "DELETE" => Ok(MembershipRequest::Remove(name)),
+        "PUT" if call.body.is_empty() => Ok(MembershipRequest::Add(name, None)),
         "PUT" => {
             let body: Replacement = serde_json::from_slice(&call.body).map_err(|error| {
                 Response::error(400, &format!("body: wants {{\"instead_of\": HOST}}: {error}"))
             })?;
-            Ok(Wish::Come(name, Some(host("instead_of", &body.instead_of)?)))
+            Ok(MembershipRequest::Add(name, Some(host("instead_of", &body.instead_of)?)))
         }
         _ => Err(Response::error(405, "wants PUT or DELETE").with("Allow", "PUT, DELETE")),
     }
@@ -68,18 +68,18 @@
                 .map_err(|elsewhere| go_to(&self.0, call, &elsewhere));
         };
         Err(match self.0.order(wish).await {
-            Answer::Taken => return Ok(json(200, &self.0.core_view())),
-            Answer::Unfit(unfit) => Response::error(409, &unfit.to_string()),
+            Answer::Accepted => return Ok(json(200, &self.0.core_view())),
+            Answer::MembershipRefused(unfit) => Response::error(409, &unfit.to_string()),
             Answer::Conflict(_) => Response::error(409, "another order came first: look again"),
             Answer::Unknown => {
                 Response::error(503, "not known to be taken: repeat it unchanged").with("Retry-After", "0.2")
             }
-            Answer::Elsewhere(elsewhere) => go_to(&self.0, call, &elsewhere),
+            Answer::NotLeader(elsewhere) => go_to(&self.0, call, &elsewhere),
             Answer::Confirmed
             | Answer::Units(_)
             | Answer::Claim(_)
-            | Answer::Wrong(_)
-            | Answer::Missing(_)
+            | Answer::Invalid(_)
+            | Answer::NotFound(_)
             | Answer::Forgotten(_) => go_to(&self.0, call, &self.0.elsewhere()),
         })
     }
--- a/crates/controller/src/resources/evacuations.rs
+++ b/crates/controller/src/resources/evacuations.rs
@@ -25,7 +25,7 @@
                 _ => return Response::error(405, "wants POST or DELETE").with("Allow", "POST, DELETE"),
             };
             match self.0.zone(&zone, back).await {
-                Answer::Taken => Response::empty(200),
+                Answer::Accepted => Response::empty(200),
                 _ => go_to(&self.0, &call, &self.0.elsewhere()),
             }
         })
--- a/crates/controller/src/resources/inner.rs
+++ b/crates/controller/src/resources/inner.rs
@@ -6,7 +6,7 @@
 use nickeljunction_messages::{LeaderRedirect, PaceSharesCall, UnitsCall, WatchAnswer, WatchCall};
 use nickeljunction_net::compression::compressed;
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
-use nickeljunction_replica::Held as Hold;
+use nickeljunction_replica::HeldWatch as Hold;
 use serde::de::DeserializeOwned;
 use std::rc::Rc;
 
@@ -122,7 +122,7 @@
                 return Ok(answer);
             }
             let now = driver.now();
-            let left = held.look_at(now).saturating_sub(now);
+            let left = held.next_check_at(now).saturating_sub(now);
             driver.wheel().timeout(left as f64, changed).await;
         }
     }
@@ -162,7 +162,7 @@
     use nickeljunction_net::caller::Caller as Calls;
     use nickeljunction_net::clock::Clock;
     use nickeljunction_net::wheel::Wheel;
-    use nickeljunction_replica::{Place, Replica};
+    use nickeljunction_replica::{MemberConfig, Replica};
     use nickeljunction_schema::Bounds;
     use std::task::{Context, Poll};
     use tokio::sync::mpsc;
@@ -178,7 +178,7 @@
             snapshot: Some(first),
             entries: Vec::new(),
         };
-        let place = Rc::new(Place {
+        let place = Rc::new(MemberConfig {
             name: "core-1".into(),
             host: "127.0.0.1".into(),
             zones: Default::default(),
--- a/crates/controller/src/resources/trials.rs
+++ b/crates/controller/src/resources/trials.rs
@@ -41,12 +41,12 @@
             _ => return Response::error(405, "wants POST or DELETE").with("Allow", "POST, DELETE"),
         };
         match self.0.trial(&tenant, lapse).await {
-            Answer::Taken => json(200, &self.0.trials().remove(tenant.as_ref()) as &Option<TrialView>),
-            Answer::Missing(wants) => Response::error(404, &wants),
+            Answer::Accepted => json(200, &self.0.trials().remove(tenant.as_ref()) as &Option<TrialView>),
+            Answer::NotFound(wants) => Response::error(404, &wants),
             Answer::Unknown => {
                 Response::error(503, "not known to be taken: repeat it unchanged").with("Retry-After", "0.2")
             }
-            Answer::Elsewhere(elsewhere) => go_to(&self.0, call, &elsewhere),
+            Answer::NotLeader(elsewhere) => go_to(&self.0, call, &elsewhere),
             _ => go_to(&self.0, call, &self.0.elsewhere()),
         }
     }
@@ -98,7 +98,7 @@
                 let changed = driver.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
-                if driver.change(put()).await == Answer::Taken {
+                if driver.change(put()).await == Answer::Accepted {
                     break;
                 }
                 changed.await;
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -13,7 +13,7 @@
 use nickeljunction_net::figures;
 use nickeljunction_net::start::{listen, Order, Orders, StartError};
 use nickeljunction_net::wheel::Wheel;
-use nickeljunction_replica::{Place, Replica};
+use nickeljunction_replica::{MemberConfig, Replica};
 use nickeljunction_schema::{CoreAddresses, Settings, SettingsError};
 use nickeljunction_storage::{FileLogStore, LogStore, StorageError};
 use quick_error::quick_error;
@@ -142,7 +142,7 @@
     disk::start(hold, hint::place(&addresses.data), to_write, done)
         .map_err(|cause| StartError::System("starting the disk's thread", cause))?;
 
-    let place = Rc::new(Place {
+    let place = Rc::new(MemberConfig {
         name: settings.node_name.clone(),
         host: addresses.ip.to_string(),
         zones: settings.zones.clone(),
--- a/crates/controller/src/tell.rs
+++ b/crates/controller/src/tell.rs
@@ -5,18 +5,18 @@
 /// Logs an event.
 pub fn tell(event: &Event) {
     match event {
-        Event::LeadBegun { term, servers, gateways, unheard, held_ms, .. } => log::info!(
-            "event=lead_begun term={term} servers={servers} gateways={gateways} unheard={unheard} held_ms={held_ms}"
+        Event::LeadBegun { term, servers, gateways, logged_gateways, held_ms, .. } => log::info!(
+            "event=lead_begun term={term} servers={servers} gateways={gateways} unheard={logged_gateways} held_ms={held_ms}"
         ),
         Event::LeadEnded { term } => log::info!("event=lead_ended term={term}"),
-        Event::ServerSilent { life } => log::info!("event=server_silent life={life}"),
-        Event::Server { life, backend, zone, state, cold_ms } => log::info!(
-            "event=server life={life} backend={backend} zone={zone} state={state:?} cold_ms={cold_ms}"
+        Event::ServerSilent { id } => log::info!("event=server_silent life={id}"),
+        Event::ServerChanged { id, backend, zone, state, warmup_left_ms } => log::info!(
+            "event=server life={id} backend={backend} zone={zone} state={state:?} cold_ms={warmup_left_ms}"
         ),
-        Event::ServerGone { life } => log::info!("event=server_gone life={life}"),
-        Event::GatewayAway { name } => log::info!("event=gateway_away name={name}"),
-        Event::GatewaysEnrolled { come, gone } => {
-            log::info!("event=gateways_enrolled come={come:?} gone={gone}");
+        Event::ServerGone { id } => log::info!("event=server_gone life={id}"),
+        Event::GatewayDisconnected { name } => log::info!("event=gateway_away name={name}"),
+        Event::GatewaysEnrolled { added, removed } => {
+            log::info!("event=gateways_enrolled come={added:?} gone={removed}");
         }
         Event::ConfigChange { patch, base, version, outcome } => {
             let method = if *patch { "PATCH" } else { "PUT" };
@@ -24,12 +24,12 @@
                 "event=config_change method={method} base={base} version={version} outcome={outcome:?}"
             );
         }
-        Event::CoreOrder { wish, outcome } => {
-            let wish = format!("{wish:?}");
+        Event::MembershipOrder { request, outcome } => {
+            let wish = format!("{request:?}");
             log::info!("event=core_order wish={wish:?} outcome={outcome:?}");
         }
-        Event::Evacuation { zone, back } => {
-            let method = if *back { "DELETE" } else { "POST" };
+        Event::Evacuation { zone, ended } => {
+            let method = if *ended { "DELETE" } else { "POST" };
             log::info!("event=evacuation method={method} zone={zone}");
         }
         Event::Trial { tenant, trial } => {
@@ -47,6 +47,6 @@
         Event::Diverged { index, version } => {
             log::error!("event=state_diverged index={index} version={version}");
         }
-        Event::Restated { after } => log::warn!("event=state_restated index={after}"),
+        Event::StateTransferred { last_index } => log::warn!("event=state_restated index={last_index}"),
     }
 }
--- a/crates/replica/examples/catch_up.rs
+++ b/crates/replica/examples/catch_up.rs
@@ -3,10 +3,10 @@
 //! `cargo run --release -p nickeljunction-replica --example catch_up` prints one line a case, on a fake clock: time is that of
 //! lines (2 ms a way) and disks (3 ms a write), not of processors. By the worlds of `tests/catch_up.rs`.
 
-#[path = "../tests/away/mod.rs"]
-mod away;
+#[path = "../tests/cluster/mod.rs"]
+mod cluster;
 
-use away::World;
+use cluster::Cluster;
 
 /// Bytes a ms of a thin line: 2 Mbit/s.
 const THIN: usize = 250;
@@ -17,7 +17,7 @@
     for routes in [20, 1_000, 3_300] {
         for changes in [1, 10, 100, 1_000] {
             for thin in [false, true] {
-                let mut world = World::new(1, routes);
+                let mut world = Cluster::new(1, routes);
                 let node = world.followers()[0];
                 world.kill(node);
                 world.changes(changes);
--- a/crates/replica/examples/change_cost.rs
+++ b/crates/replica/examples/change_cost.rs
@@ -7,7 +7,7 @@
 use nickeljunction_consensus::{Restored, Tuning};
 use nickeljunction_messages::{Caller, GatewayInfo, Member, WatchAnswer, WatchCall};
 use nickeljunction_registry::WatchCache;
-use nickeljunction_replica::{Answer, Change, Effects, Place, Replica};
+use nickeljunction_replica::{Answer, Change, Effects, MemberConfig, Replica};
 use nickeljunction_routing::Table;
 use nickeljunction_schema::{Bounds, Document};
 use serde_json::{json, Map, Value};
@@ -64,7 +64,7 @@
 impl Core {
     fn new() -> Core {
         let me = Member { id: 7, host: "10.0.0.1".into() };
-        let place = Place {
+        let place = MemberConfig {
             name: "core-1".into(),
             host: me.host.clone(),
             zones: BTreeMap::from([("z1".into(), "r1".into())]),
@@ -74,7 +74,7 @@
         let restored = Restored::bootstrap(me.clone(), vec![me]);
         let replica = Replica::new(Rc::new(place), restored, Tuning::default(), 1, 1_000);
         let mut core = Core { now: 1_000, replica };
-        while core.replica.leads().is_none() {
+        while core.replica.leader_state().is_none() {
             core.now += 1;
             let now = core.now;
             core.act(|replica| replica.tick(now));
@@ -87,7 +87,7 @@
         act(&mut self.replica);
         let (mut answers, mut bytes) = (Vec::new(), 0);
         loop {
-            let Effects { writes, answers: more, applied, .. } = self.replica.take();
+            let Effects { writes, answers: more, applied, .. } = self.replica.take_effects();
             answers.extend(more.into_iter().map(|(_, answer)| answer));
             bytes += applied.iter().filter_map(|entry| entry.data()).map(str::len).sum::<usize>();
             if writes.is_empty() {
@@ -101,14 +101,14 @@
     fn change(&mut self, patch: bool, base: u64, body: &Value) -> usize {
         let change = Change { patch, base: Some(base), body: body.to_string().into() };
         let now = self.now;
-        let (answers, bytes) = self.act(|replica| replica.change(now, change));
-        assert_eq!(answers, [Answer::Taken]);
+        let (answers, bytes) = self.act(|replica| replica.change_config(now, change));
+        assert_eq!(answers, [Answer::Accepted]);
         bytes
     }
 
     fn watch(&mut self, call: &WatchCall) -> WatchAnswer {
-        let held = self.replica.called(self.now, call).expect("it leads");
-        self.replica.watch(self.now, call, &held).expect("it leads").expect("news")
+        let held = self.replica.begin_watch(self.now, call).expect("it leads");
+        self.replica.answer_watch(self.now, call, &held).expect("it leads").expect("news")
     }
 }
 
--- a/crates/replica/src/change.rs
+++ b/crates/replica/src/change.rs
@@ -1,8 +1,8 @@
 //! An operator's change of the configuration, checked against the state.
 
+use crate::change_history::ChangeStatus;
 use crate::effects::Answer;
-use crate::machine::Replica;
-use crate::order_memory::Recall;
+use crate::replica::Replica;
 use crate::state::{Entry, ReplicatedState};
 use bytes::Bytes;
 use nickeljunction_schema::{
@@ -62,24 +62,25 @@
 }
 
 fn bad(problem: Problem) -> Answer {
-    Answer::Wrong(problem.to_string())
+    Answer::Invalid(problem.to_string())
 }
 
 impl Change {
     /// What goes on the log; else the answer.
     pub(crate) fn check(&self, state: &ReplicatedState) -> Result<Fit, Answer> {
         let wants = "If-Match: wants the version that this builds on, 0 for the first";
-        let base = self.base.ok_or_else(|| Answer::Wrong(wants.into()))?;
+        let base = self.base.ok_or_else(|| Answer::Invalid(wants.into()))?;
         let body = read_body(&self.body).map_err(bad)?;
         let digest = value_digest(if self.patch { "PATCH" } else { "PUT" }, Some(base), &body);
         // A repeat is known before it is judged: a newer program may judge otherwise than the one that took it.
-        let recall = body_version(&body).map_or(Recall::NotTaken, |version| state.recall(version, &digest));
-        if recall == Recall::Taken {
-            return Err(Answer::Taken);
+        let recall = body_version(&body)
+            .map_or(ChangeStatus::NotTaken, |version| state.change_status(version, &digest));
+        if recall == ChangeStatus::Taken {
+            return Err(Answer::Accepted);
         }
         let (version, made) = self.read(state, base, body)?;
         // What was taken had a version above its base.
-        if recall == Recall::Forgotten && base < version {
+        if recall == ChangeStatus::Forgotten && base < version {
             return Err(Answer::Forgotten(version));
         }
         let in_place = || Answer::Conflict(Some(state.version()));
@@ -110,7 +111,7 @@
             return Ok((patch.version(), None));
         }
         if state.version() == 0 {
-            return Err(Answer::Wrong("nothing to change: put a whole configuration first".into()));
+            return Err(Answer::Invalid("nothing to change: put a whole configuration first".into()));
         }
         let made = patch.apply_raw(state.doc(), state.document_digest()).map_err(bad)?;
         let Patched { document, difference, digest } = made;
@@ -236,7 +237,7 @@
                 let next = body["config_version"].as_u64().unwrap();
                 let fits = !wrong && base == version && next > version && (!patch || version > 0);
                 match change.check(&state) {
-                    Err(Answer::Taken) => prop_assert!(taken.contains(&call)),
+                    Err(Answer::Accepted) => prop_assert!(taken.contains(&call)),
                     _ if taken.contains(&call) => prop_assert!(false, "a repeat is not taken"),
                     Ok(found) => {
                         prop_assert!(fits, "{:?} on {}", call, version);
@@ -245,7 +246,7 @@
                     Err(_) => prop_assert!(!fits, "{:?} on {}", call, version),
                 }
                 let torn = Change { body: bytes[..bytes.len() - 1].to_vec().into(), ..change };
-                prop_assert!(matches!(torn.check(&state), Err(Answer::Wrong(_))));
+                prop_assert!(matches!(torn.check(&state), Err(Answer::Invalid(_))));
                 sent.push(call);
             }
         }
--- a/crates/replica/src/order_memory.rs
+++ b/crates/replica/src/change_history.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 /// Changes remembered: nearly two days of 4,300 changes, a day's target.
-pub const REMEMBERED: usize = 8_192;
+pub const MAX_CHANGES: usize = 8_192;
 /// So many did programs remember whose snapshots hold a plain list.
 const REMEMBERED_BY_FORMER: usize = 64;
 /// Bits of a digest that are kept. Only different changes of one number have to be told apart: two of them are mistaken for
@@ -28,14 +28,14 @@
 
 /// A change as snapshots of former programs hold it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FormerRecord {
+pub struct LegacyRecord {
     version: u64,
     digest: String,
 }
 
 /// What is known of a change by its version and digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Recall {
+pub enum ChangeStatus {
     /// It was taken.
     Taken,
     /// It was not: another one has its version, or a later one was taken and this one was not.
@@ -46,7 +46,7 @@
 
 /// See the module.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct OrderMemory {
+pub struct ChangeHistory {
     /// Oldest first: versions only rise.
     records: VecDeque<Record>,
     /// Changes up to this version may have been taken without a record.
@@ -59,27 +59,27 @@
     digest.bytes().fold(0xcbf2_9ce4_8422_2325, step) >> (u64::BITS - DIGEST_BITS)
 }
 
-impl OrderMemory {
+impl ChangeHistory {
     /// Remembers a change that was taken, with a version above all before it.
     pub fn add(&mut self, version: u64, digest: &str) {
-        if self.records.len() >= REMEMBERED {
+        if self.records.len() >= MAX_CHANGES {
             self.forgotten = self.records.pop_front().map_or(self.forgotten, |oldest| oldest.version);
         }
         self.records.push_back(Record { version, digest: short(digest) });
     }
 
     /// What became of a change.
-    pub fn recall(&self, version: u64, digest: &str) -> Recall {
+    pub fn status(&self, version: u64, digest: &str) -> ChangeStatus {
         let found = self.records.binary_search_by_key(&version, |record| record.version);
         match found.ok().and_then(|at| self.records.get(at)) {
-            Some(record) if record.digest == short(digest) => Recall::Taken,
-            None if version <= self.forgotten => Recall::Forgotten,
-            _ => Recall::NotTaken,
+            Some(record) if record.digest == short(digest) => ChangeStatus::Taken,
+            None if version <= self.forgotten => ChangeStatus::Forgotten,
+            _ => ChangeStatus::NotTaken,
         }
     }
 
     /// Takes over the list of a former program's snapshot.
-    pub(crate) fn adopt(&mut self, former: &[FormerRecord]) {
+    pub(crate) fn adopt(&mut self, former: &[LegacyRecord]) {
         let oldest = former.first().map_or(0, |record| record.version);
         if former.len() >= REMEMBERED_BY_FORMER {
             self.forgotten = oldest.saturating_sub(1);
@@ -96,7 +96,7 @@
     records: String,
 }
 
-impl Serialize for OrderMemory {
+impl Serialize for ChangeHistory {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         let mut records = String::with_capacity(self.records.len() * (DIGEST_DIGITS + 2));
         let mut before = self.forgotten;
@@ -110,10 +110,10 @@
     }
 }
 
-impl<'de> Deserialize<'de> for OrderMemory {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<OrderMemory, D::Error> {
+impl<'de> Deserialize<'de> for ChangeHistory {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<ChangeHistory, D::Error> {
         let stored = Stored::deserialize(from)?;
-        let mut memory = OrderMemory { records: VecDeque::new(), forgotten: stored.forgotten };
+        let mut memory = ChangeHistory { records: VecDeque::new(), forgotten: stored.forgotten };
         let mut version = stored.forgotten;
         for text in stored.records.split_terminator(',') {
             let record = record_of(text, version).ok_or_else(|| D::Error::custom("a broken record"))?;
--- a/crates/replica/src/claims.rs
+++ b/crates/replica/src/claims.rs
@@ -1,8 +1,8 @@
 //! Claims of keyed operations: a leader answers that one is held by its lease, and grants by the log alone.
 
-use crate::calls::Proposed;
 use crate::effects::{Answer, Ticket};
-use crate::machine::Replica;
+use crate::pending_calls::Proposed;
+use crate::replica::Replica;
 use crate::state::Entry;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, LeaderRedirect};
 use nickeljunction_operations::{Batch, WaitingClaim};
@@ -12,11 +12,11 @@
 
 /// What became of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimReply {
     /// Its answer: it could not be granted.
-    Now(ClaimAnswer),
+    Immediate(ClaimAnswer),
     /// It goes on the log; [`Answer::Claim`] or [`Answer::Unknown`] comes by this ticket.
-    Later(Ticket),
+    Pending(Ticket),
 }
 
 impl Replica {
@@ -24,19 +24,19 @@
     ///
     /// # Errors
     /// This member doesn't lead, or is not sure of it.
-    pub fn claim(&mut self, now: u64, call: &ClaimCall) -> Result<Claimed, LeaderRedirect> {
+    pub fn claim(&mut self, now: u64, call: &ClaimCall) -> Result<ClaimReply, LeaderRedirect> {
         self.with_lead(now, |_, _| ())?;
         if let Some(refusal) = self.state.operations().refusal(call) {
-            return Ok(Claimed::Now(refusal));
+            return Ok(ClaimReply::Immediate(refusal));
         }
         let ticket = self.ticket();
         if self.claims.enqueue(WaitingClaim { call: *call, ticket, deadline: now + CLAIM_MS }) {
             self.turn_claims(now);
-            self.out.sooner = true;
+            self.out.wake_changed = true;
         } else {
             self.out.answers.push((ticket, Answer::Unknown));
         }
-        Ok(Claimed::Later(ticket))
+        Ok(ClaimReply::Pending(ticket))
     }
 
     /// Puts the claims that wait on the log, where it is time for that.
@@ -76,7 +76,7 @@
 
     /// This member leads no more: nobody here puts the claims that wait on the log.
     pub(crate) fn hand_over_claims(&mut self) {
-        let elsewhere = Answer::Elsewhere(self.elsewhere());
+        let elsewhere = Answer::NotLeader(self.leader_redirect());
         let waiting = self.claims.drain_waiting();
         self.out.answers.extend(waiting.iter().map(|claim| (claim.ticket, elsewhere.clone())));
     }
--- a/crates/replica/src/departures.rs
+++ b/crates/replica/src/departures.rs
@@ -50,7 +50,7 @@
     }
 
     /// How the server of this id left.
-    pub fn of(&self, id: &str) -> Option<Departure> {
+    pub fn get(&self, id: &str) -> Option<Departure> {
         if self.ended.contains(id) {
             return Some(Departure::Ended);
         }
@@ -125,8 +125,8 @@
 
 impl DepartureLog {
     /// A server leaves. Returns the number up to which departures must be logged before that is acknowledged.
-    pub fn note(&mut self, id: &str, departure: Departure, logged: &Departures) -> u64 {
-        let known = match logged.of(id) {
+    pub fn record(&mut self, id: &str, departure: Departure, logged: &Departures) -> u64 {
+        let known = match logged.get(id) {
             Some(Departure::Ended) => true,
             Some(Departure::Draining { .. }) => departure != Departure::Ended,
             None => false,
@@ -141,13 +141,13 @@
     }
 
     /// A server that drained serves on after all: a call later than the one that said so told it.
-    pub fn returned(&mut self, id: &str) {
+    pub fn record_return(&mut self, id: &str) {
         self.waiting.departures.remove(id);
         self.waiting.forgotten.insert(id.to_owned());
     }
 
     /// All departures up to this number are on the log.
-    pub fn has_logged(&self, number: u64) -> bool {
+    pub fn is_logged(&self, number: u64) -> bool {
         self.logged >= number
     }
 
@@ -164,7 +164,7 @@
 
     /// What became of the entry under way. One that is not known to be on the log is put there again, with what came since:
     /// a second copy of it changes nothing.
-    pub fn settled(&mut self, is_logged: bool) {
+    pub fn entry_settled(&mut self, is_logged: bool) {
         let Some((number, batch)) = self.under_way.take() else { return };
         if is_logged {
             self.logged = number;
@@ -184,7 +184,7 @@
         }
         self.look_at = now + LOOK_MS;
         let ids = || logged.ended.iter().chain(logged.draining.keys());
-        self.known_since.retain(|id, _| logged.of(id).is_some());
+        self.known_since.retain(|id, _| logged.get(id).is_some());
         for id in ids() {
             let since = self.known_since.entry(id.clone()).or_insert(now);
             if logged.draining.contains_key(id) && serves(id) {
--- a/crates/replica/src/divergence.rs
+++ b/crates/replica/src/divergence.rs
@@ -10,7 +10,7 @@
 //! Its log is sound, so it votes and vouches for entries as before. A snapshot from the leader ends it, too.
 
 use crate::effects::Event;
-use crate::machine::Replica;
+use crate::replica::Replica;
 use crate::state::{Entry, Outcome, ReplicatedState};
 use nickeljunction_messages::StateTransfer;
 use nickeljunction_registry::ConfigHistory;
@@ -44,7 +44,7 @@
 
 impl Replica {
     /// This member's state isn't the log's, and it waits for the leader's.
-    pub fn diverged(&self) -> bool {
+    pub fn is_diverged(&self) -> bool {
         self.divergence.is_some()
     }
 
@@ -61,7 +61,7 @@
         }
         // Only of these it can be told.
         let kept = matches!(entry, Entry::Change { .. }).then(|| entry.clone());
-        match (self.state.apply_noting(entry, &mut self.changes), kept) {
+        match (self.state.apply_recording(entry, &mut self.changes), kept) {
             (Outcome::Diverged, Some(entry)) => {
                 self.hold(now, index, entry);
                 None
@@ -103,7 +103,7 @@
             }
         };
         self.state = state;
-        self.out.events.push(Event::Restated { after: restated.last_index });
+        self.out.events.push(Event::StateTransferred { last_index: restated.last_index });
         let held = self.divergence.take().map(|divergence| divergence.held).unwrap_or_default();
         for (index, entry) in held.into_iter().filter(|(index, _)| *index > restated.last_index) {
             self.apply(now, index, entry);
--- a/crates/replica/src/effects.rs
+++ b/crates/replica/src/effects.rs
@@ -1,6 +1,6 @@
 //! What comes out of the machine.
 
-use crate::members::{Unfit, Wish};
+use crate::membership::{MembershipError, MembershipRequest};
 use crate::state::{Outcome, Trial};
 use nickeljunction_consensus::{Entry, Envelope, Write};
 use nickeljunction_messages::{ClaimAnswer, LeaderRedirect, ServerState, UnitsAnswer};
@@ -21,9 +21,9 @@
     /// Held watch calls and rounds are to look again.
     pub changed: bool,
     /// [`crate::Replica::next_wake`] may have come nearer.
-    pub sooner: bool,
+    pub wake_changed: bool,
     /// To be kept on the machine for a next process, without a sync.
-    pub hint: Option<WatchCache>,
+    pub watch_cache_to_save: Option<WatchCache>,
     /// In the order in which they came.
     pub events: Vec<Event>,
     /// Entries that were applied, in the log's order: for who checks what the machine does.
@@ -40,21 +40,21 @@
     /// To a claim of a keyed operation.
     Claim(ClaimAnswer),
     /// In force, and on a majority's disks.
-    Taken,
+    Accepted,
     /// What the change builds on is not in force: this version is, or another change came first on the log.
     Conflict(Option<u64>),
     /// An order on the core's members can't be carried out as things are.
-    Unfit(Unfit),
+    MembershipRefused(MembershipError),
     /// It can't be taken; what is wanted.
-    Wrong(String),
+    Invalid(String),
     /// What it names isn't there; what is wanted.
-    Missing(String),
+    NotFound(String),
     /// Whether it will be taken is not known: it is to be repeated unchanged.
     Unknown,
     /// Whether it was taken is not known any more: this version is as old as what was forgotten.
     Forgotten(u64),
     /// This member doesn't lead, or is not sure of it.
-    Elsewhere(LeaderRedirect),
+    NotLeader(LeaderRedirect),
 }
 
 /// What operators may want to know.
@@ -62,25 +62,25 @@
 #[allow(missing_docs)] // The names tell: term, life (a process's id), index on the log, counts.
 pub enum Event {
     /// It leads, from this many servers and gateways and with this version of the configuration.
-    LeadBegun { term: u64, version: u64, servers: usize, gateways: u32, unheard: usize, held_ms: u64 },
+    LeadBegun { term: u64, version: u64, servers: usize, gateways: u32, logged_gateways: usize, held_ms: u64 },
     /// It leads no more.
     LeadEnded { term: u64 },
     /// A server was not heard of for too long.
-    ServerSilent { life: String },
+    ServerSilent { id: String },
     /// A server came, or says something else than before.
-    Server { life: String, backend: String, zone: String, state: ServerState, cold_ms: u64 },
+    ServerChanged { id: String, backend: String, zone: String, state: ServerState, warmup_left_ms: u64 },
     /// A server says that it is gone.
-    ServerGone { life: String },
+    ServerGone { id: String },
     /// A gateway hung up.
-    GatewayAway { name: String },
+    GatewayDisconnected { name: String },
     /// The list of gateways' processes is to change: names of those that come, count of those that go.
-    GatewaysEnrolled { come: Vec<String>, gone: usize },
+    GatewaysEnrolled { added: Vec<String>, removed: usize },
     /// An operator's change was decided on, or not in time.
     ConfigChange { patch: bool, base: u64, version: u64, outcome: Option<Outcome> },
     /// An order on the core's members was put on the log, or not in time.
-    CoreOrder { wish: Wish, outcome: Option<Outcome> },
+    MembershipOrder { request: MembershipRequest, outcome: Option<Outcome> },
     /// A zone was evacuated, or taken back.
-    Evacuation { zone: String, back: bool },
+    Evacuation { zone: String, ended: bool },
     /// A tenant's trial changed, as it stands now.
     Trial { tenant: String, trial: Trial },
     /// The log takes nothing more at the moment.
@@ -92,5 +92,5 @@
     /// The entry made another document here than where it was proposed: this member's state isn't the log's any more.
     Diverged { index: u64, version: u64 },
     /// It goes on from the leader's state, which holds all up to this entry.
-    Restated { after: u64 },
+    StateTransferred { last_index: u64 },
 }
--- a/crates/replica/src/leader.rs
+++ b/crates/replica/src/leader.rs
@@ -1,10 +1,10 @@
 //! What only a leader has and does: registers, counter, and who is answered by its lease.
 
-use crate::calls::Proposed;
 use crate::departures::{Departure, DepartureLog};
 use crate::effects::{Event, Ticket};
-use crate::lapsed_trials::LapsedTrials;
-use crate::machine::Replica;
+use crate::pending_calls::Proposed;
+use crate::replica::Replica;
+use crate::trials::LapsedTrials;
 use nickeljunction_messages::{
     Caller, LeaderRedirect, ServerState, StateTransfer, UnitsAnswer, UnitsCall, VersionedConfig, WatchAnswer,
     WatchCall,
@@ -65,16 +65,16 @@
 
 /// What became of a call for units.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Lent {
+pub enum UnitsReply {
     /// Its answer.
-    Now(UnitsAnswer),
+    Immediate(UnitsAnswer),
     /// The caller's process goes on the log first; the answer comes by this ticket.
-    Later(Ticket),
+    Pending(Ticket),
 }
 
 /// A watch call that is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldWatch {
     /// Its sender is to come again with its line, or was replaced: nothing to hold it for.
     brief: bool,
     /// Before that it is only answered with what must not wait, so that what comes bit by bit is told together.
@@ -84,14 +84,14 @@
     term: u64,
 }
 
-impl Held {
+impl HeldWatch {
     /// By then it is answered, whether there is something new or not.
     pub fn end(&self) -> u64 {
         self.end
     }
 
     /// When it is to look again, where nothing changes before.
-    pub fn look_at(&self, now: u64) -> u64 {
+    pub fn next_check_at(&self, now: u64) -> u64 {
         if now < self.together_at {
             self.together_at
         } else {
@@ -102,7 +102,7 @@
 
 /// An acknowledgement that waits until a change has come round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Round {
+pub struct PendingAck {
     /// Of the leader that waits.
     term: u64,
     /// Number of the change in its register.
@@ -115,16 +115,16 @@
     logged_until: u64,
 }
 
-impl Round {
+impl PendingAck {
     /// When it is to look again, where nothing changes before.
-    pub fn look_at(&self, now: u64) -> u64 {
+    pub fn next_check_at(&self, now: u64) -> u64 {
         let next = if now < self.gateways_until { self.gateways_until } else { self.logged_until };
         next.clamp(now + 1, now + LOOK_MS)
     }
 }
 
 /// Units that a document allows each tenant with a limit, by the rules' figures.
-pub fn limits(doc: &serde_json::Value, bounds: &Bounds) -> BTreeMap<String, Limit> {
+pub fn quota_limits(doc: &serde_json::Value, bounds: &Bounds) -> BTreeMap<String, Limit> {
     Document::view(doc).map(|config| limits_of(&config, bounds)).unwrap_or_default()
 }
 
@@ -172,7 +172,7 @@
             version: self.state.version(),
             servers: register.server_count(),
             gateways: register.gateway_count(),
-            unheard: known,
+            logged_gateways: known,
             held_ms: counter.takeover_ms(),
         });
         self.lead = Some(Lead {
@@ -216,7 +216,7 @@
         let Some(lead) = &mut self.lead else { return };
         let before = lead.register.seq();
         let silent = lead.register.tick(now);
-        self.out.events.extend(silent.into_iter().map(|life| Event::ServerSilent { life }));
+        self.out.events.extend(silent.into_iter().map(|id| Event::ServerSilent { id }));
         self.out.changed |= lead.register.seq() != before;
         let forget = if lead.forgets { None } else { lead.counter.removable_processes(now) };
         if let Some(roll) = forget {
@@ -235,7 +235,7 @@
     ) -> Result<R, LeaderRedirect> {
         // A leader that was frozen or cut off may have a successor by now: it must not answer as one.
         let age = self.book.quorum_age(now).filter(|age| *age < self.lease_ms);
-        let (Some(age), Some(lead)) = (age, &mut self.lead) else { return Err(self.elsewhere()) };
+        let (Some(age), Some(lead)) = (age, &mut self.lead) else { return Err(self.leader_redirect()) };
         let before = lead.register.seq();
         let result = act(lead, age);
         self.out.changed |= lead.register.seq() != before;
@@ -247,10 +247,10 @@
     ///
     /// # Errors
     /// This member doesn't lead, or is not sure of it.
-    pub fn units(&mut self, now: u64, call: &UnitsCall) -> Result<Lent, LeaderRedirect> {
+    pub fn request_units(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsReply, LeaderRedirect> {
         match self.with_lead(now, |lead, _| lead.counter.enrollment_for(now, call))? {
-            Some(roll) => Ok(Lent::Later(self.enroll_first(now, roll, call.clone()))),
-            None => self.lend(now, call).map(Lent::Now),
+            Some(roll) => Ok(UnitsReply::Pending(self.enroll_first(now, roll, call.clone()))),
+            None => self.lend(now, call).map(UnitsReply::Immediate),
         }
     }
 
@@ -275,25 +275,25 @@
     ///
     /// # Errors
     /// As all here.
-    pub fn called(&mut self, now: u64, call: &WatchCall) -> Result<Held, LeaderRedirect> {
+    pub fn begin_watch(&mut self, now: u64, call: &WatchCall) -> Result<HeldWatch, LeaderRedirect> {
         let (seen, term) = self.with_lead(now, |lead, _| {
             *lead.watching.entry(call.incarnation).or_default() += 1;
             (lead.register.record_watch_call(now, call), lead.term)
         })?;
         let brief = matches!(seen, CallOutcome::MissingLine | CallOutcome::ReplacedProcess);
         let end = now + call.wait_ms.min(MOST_HOLD_MS);
-        Ok(Held { brief, together_at: end.min(now + TOGETHER_MS), end, term })
+        Ok(HeldWatch { brief, together_at: end.min(now + TOGETHER_MS), end, term })
     }
 
     /// What a watch call gets now; `None`: it is to look again after a change, or at its end.
     ///
     /// # Errors
     /// As all here.
-    pub fn watch(
+    pub fn answer_watch(
         &mut self,
         now: u64,
         call: &WatchCall,
-        held: &Held,
+        held: &HeldWatch,
     ) -> Result<Option<WatchAnswer>, LeaderRedirect> {
         let last = held.brief || now >= held.end || call.diverged;
         let answer = self.with_lead(now, |lead, age| {
@@ -312,16 +312,16 @@
     }
 
     /// A watch call has ended; true where its sender has no other one here.
-    fn unwatched(&mut self, call: &WatchCall, held: &Held) -> bool {
+    fn unwatched(&mut self, call: &WatchCall, held: &HeldWatch) -> bool {
         let lead = self.lead.as_mut().filter(|lead| lead.term == held.term);
         lead.is_some_and(|lead| lead.unwatched(call.incarnation))
     }
 
     /// The caller of a held watch call went away before its answer. Its sender is gone where that was its last one.
-    pub fn hung_up(&mut self, now: u64, call: &WatchCall, held: &Held) {
+    pub fn watch_disconnected(&mut self, now: u64, call: &WatchCall, held: &HeldWatch) {
         // Whoever leads by then has a watch of its own.
         if self.unwatched(call, held) && call.caller == Caller::Gateway {
-            self.out.events.push(Event::GatewayAway { name: call.name.clone() });
+            self.out.events.push(Event::GatewayDisconnected { name: call.name.clone() });
             let _ = self.with_lead(now, |lead, _| {
                 lead.register.gateway_disconnected(now, &call.name, call.incarnation)
             });
@@ -332,15 +332,20 @@
     ///
     /// # Errors
     /// As all here.
-    pub fn beat(&mut self, now: u64, id: &str, beat: &Heartbeat) -> Result<Option<Round>, LeaderRedirect> {
+    pub fn record_heartbeat(
+        &mut self,
+        now: u64,
+        id: &str,
+        beat: &Heartbeat,
+    ) -> Result<Option<PendingAck>, LeaderRedirect> {
         let outcome = self.with_lead(now, |lead, _| lead.register.record_heartbeat(now, id, beat))?;
         if matches!(outcome.kind, HeartbeatKind::Registered | HeartbeatKind::Changed) {
-            self.out.events.push(Event::Server {
-                life: id.into(),
+            self.out.events.push(Event::ServerChanged {
+                id: id.into(),
                 backend: beat.backend.clone(),
                 zone: beat.zone.clone(),
                 state: beat.state,
-                cold_ms: beat.warmup_left_ms,
+                warmup_left_ms: beat.warmup_left_ms,
             });
         }
         if beat.state == ServerState::Draining {
@@ -358,7 +363,7 @@
         let is_later = said.is_some_and(|call_seq| *call_seq < beat.call_seq);
         let Some(lead) = self.lead.as_mut().filter(|_| is_later) else { return };
         if lead.register.server_state(id) == Some(ServerState::InService) {
-            lead.departures.returned(id);
+            lead.departures.record_return(id);
             self.log_departures(now);
         }
     }
@@ -367,9 +372,9 @@
     ///
     /// # Errors
     /// As all here.
-    pub fn gone(&mut self, now: u64, id: &str) -> Result<Round, LeaderRedirect> {
+    pub fn remove_server(&mut self, now: u64, id: &str) -> Result<PendingAck, LeaderRedirect> {
         let seq = self.with_lead(now, |lead, _| lead.register.remove_server(now, id))?;
-        self.out.events.push(Event::ServerGone { life: id.into() });
+        self.out.events.push(Event::ServerGone { id: id.into() });
         self.begin_round(now, id, seq, Some(Departure::Ended))
     }
 
@@ -380,11 +385,11 @@
         id: &str,
         seq: u64,
         departure: Option<Departure>,
-    ) -> Result<Round, LeaderRedirect> {
-        let Some(lead) = &mut self.lead else { return Err(self.elsewhere()) };
+    ) -> Result<PendingAck, LeaderRedirect> {
+        let Some(lead) = &mut self.lead else { return Err(self.leader_redirect()) };
         let logged = self.state.departures();
-        let number = departure.map_or(0, |departure| lead.departures.note(id, departure, logged));
-        let round = Round {
+        let number = departure.map_or(0, |departure| lead.departures.record(id, departure, logged));
+        let round = PendingAck {
             term: lead.term,
             seq,
             departure: number,
@@ -410,7 +415,7 @@
     /// What became of the entry of departures.
     pub(crate) fn departures_settled(&mut self, now: u64, is_logged: bool) {
         let Some(lead) = &mut self.lead else { return };
-        lead.departures.settled(is_logged);
+        lead.departures.entry_settled(is_logged);
         self.out.changed = true;
         // A log that takes nothing at the moment is tried again with the next beat or tick.
         if is_logged {
@@ -431,20 +436,16 @@
     ///
     /// # Errors
     /// As all here, and where the log doesn't have it in time: whoever leads next might never hear of it.
-    pub fn come_round(&mut self, now: u64, round: &Round) -> Result<bool, LeaderRedirect> {
+    pub fn ack_ready(&mut self, now: u64, round: &PendingAck) -> Result<bool, LeaderRedirect> {
         let (reach, term, is_logged) = self.with_lead(now, |lead, _| {
-            (
-                lead.register.propagation(now, round.seq),
-                lead.term,
-                lead.departures.has_logged(round.departure),
-            )
+            (lead.register.propagation(now, round.seq), lead.term, lead.departures.is_logged(round.departure))
         })?;
         // Another lead of this member has other numbers.
         if term != round.term {
-            return Err(self.elsewhere());
+            return Err(self.leader_redirect());
         }
         if !is_logged {
-            return if now >= round.logged_until { Err(self.elsewhere()) } else { Ok(false) };
+            return if now >= round.logged_until { Err(self.leader_redirect()) } else { Ok(false) };
         }
         Ok(reach.gateways >= reach.connected_gateways || now >= round.gateways_until)
     }
--- a/crates/replica/src/operations_view.rs
+++ b/crates/replica/src/operations_view.rs
@@ -1,6 +1,6 @@
 //! Keyed operations as operators see them. What became of an operation is known to the gateway that holds its claim alone.
 
-use crate::machine::Replica;
+use crate::replica::Replica;
 use nickeljunction_messages::OperationId;
 use nickeljunction_operations::MAX_RECORDS;
 use serde::Serialize;
@@ -57,7 +57,8 @@
     /// IP address of the gateway that made it.
     pub host: Ipv4Addr,
     /// That gateway's process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of the claim in that process's life.
     pub number: u64,
     /// Name of that gateway, where its process is known to this leader.
@@ -111,7 +112,7 @@
         };
         let claim = ClaimView {
             host: holder.host,
-            life: holder.incarnation,
+            incarnation: holder.incarnation,
             number: holder.number,
             gateway: gateway.map(|gateway| gateway.line.name),
             away_ms,
--- a/crates/replica/src/outbox.rs
+++ b/crates/replica/src/outbox.rs
@@ -44,7 +44,7 @@
     /// In their order.
     pub messages: Vec<Envelope>,
     /// Without an answer after so long, ms, it has failed.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// Messages that wait for one member.
@@ -82,7 +82,7 @@
         }
         self.calls[lane as usize] = true;
         let bytes: usize = messages.iter().map(Envelope::size).sum();
-        Some(Batch { messages, patience_ms: CALL_MS + (bytes / LEAST_RATE) as u64 })
+        Some(Batch { messages, timeout_ms: CALL_MS + (bytes / LEAST_RATE) as u64 })
     }
 
     fn batch(&mut self) -> Vec<Envelope> {
--- a/crates/replica/src/calls.rs
+++ b/crates/replica/src/pending_calls.rs
@@ -2,8 +2,8 @@
 
 use crate::change::{Change, Fit};
 use crate::effects::{Answer, Event, Ticket};
-use crate::machine::Replica;
-use crate::members::Wish;
+use crate::membership::MembershipRequest;
+use crate::replica::Replica;
 use crate::state::{Entry, Outcome};
 use nickeljunction_consensus::RequestError;
 use nickeljunction_messages::UnitsCall;
@@ -37,7 +37,7 @@
 pub(crate) enum Reading {
     Get(Ticket),
     Change(Ticket, Change),
-    Core(Ticket, Wish),
+    Core(Ticket, MembershipRequest),
     /// Whose trial is to lapse, or else to be restored.
     Trial(Ticket, String, bool),
 }
@@ -58,7 +58,7 @@
     /// A configuration on a base, with its version.
     Put { ticket: Ticket, patch: bool, base: u64, version: u64 },
     /// An order on the core's members.
-    Core { ticket: Ticket, wish: Wish },
+    Core { ticket: Ticket, wish: MembershipRequest },
     /// A zone is evacuated, or taken back.
     Zone { ticket: Ticket, zone: String, back: bool },
     /// An order on a tenant's trial.
@@ -90,7 +90,7 @@
     }
 
     /// An operator changes the configuration.
-    pub fn change(&mut self, now: u64, change: Change) -> Ticket {
+    pub fn change_config(&mut self, now: u64, change: Change) -> Ticket {
         let ticket = self.ticket();
         // A member that doesn't lead sends it on before it reads: the leader looks.
         let answer_by = now + ANSWER_MS + (change.body.len() / BYTES_A_MS) as u64;
@@ -98,16 +98,16 @@
         ticket
     }
 
-    /// An operator orders who is to be a member of the core: [`Answer::Taken`] once it is on the log, or where it is so
+    /// An operator orders who is to be a member of the core: [`Answer::Accepted`] once it is on the log, or where it is so
     /// already. [`Replica::core_view`] tells how far it is.
-    pub fn order(&mut self, now: u64, wish: Wish) -> Ticket {
+    pub fn change_membership(&mut self, now: u64, wish: MembershipRequest) -> Ticket {
         let ticket = self.ticket();
         self.confirm(now, now + ANSWER_MS, Reading::Core(ticket, wish));
         ticket
     }
 
     /// An operator evacuates a zone, or takes it `back`.
-    pub fn zone(&mut self, now: u64, zone: String, back: bool) -> Ticket {
+    pub fn change_evacuation(&mut self, now: u64, zone: String, back: bool) -> Ticket {
         let ticket = self.ticket();
         let entry = if back { Entry::Return(zone.clone()) } else { Entry::Evacuate(zone.clone()) };
         self.propose(now, &entry, now + ANSWER_MS, Proposed::Zone { ticket, zone, back });
@@ -115,15 +115,15 @@
         ticket
     }
 
-    /// An operator has a tenant's trial lapse, or else restores it: [`Answer::Taken`] once that is its direction.
-    pub fn trial(&mut self, now: u64, tenant: String, lapse: bool) -> Ticket {
+    /// An operator has a tenant's trial lapse, or else restores it: [`Answer::Accepted`] once that is its direction.
+    pub fn change_trial(&mut self, now: u64, tenant: String, lapse: bool) -> Ticket {
         let ticket = self.ticket();
         self.confirm(now, now + ANSWER_MS, Reading::Trial(ticket, tenant, lapse));
         ticket
     }
 
     /// Nobody waits for this answer any more: what was not begun for it is not done.
-    pub fn leave_off(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.claims.cancel(ticket);
         self.reads.retain(|_, confirming| match &confirming.reading {
             Reading::Get(of) | Reading::Change(of, _) | Reading::Core(of, _) | Reading::Trial(of, ..) => {
@@ -195,16 +195,16 @@
                 self.propose(now, &entry, answer_by, proposed);
                 None
             }
-            Ok(None) => Some(Answer::Taken),
-            Err(wants) => Some(Answer::Missing(wants)),
+            Ok(None) => Some(Answer::Accepted),
+            Err(wants) => Some(Answer::NotFound(wants)),
         }
     }
 
     fn enroll(&mut self, now: u64, roll: ProcessListChange, until: u64, proposed: Proposed) {
-        let ProcessListChange { added: come, removed: gone } = roll;
-        let names = come.values().cloned().collect();
-        self.out.events.push(Event::GatewaysEnrolled { come: names, gone: gone.len() });
-        self.propose(now, &Entry::Gateways { come, gone }, until, proposed);
+        let ProcessListChange { added, removed } = roll;
+        let names = added.values().cloned().collect();
+        self.out.events.push(Event::GatewaysEnrolled { added: names, removed: removed.len() });
+        self.propose(now, &Entry::Gateways { added, removed }, until, proposed);
         self.turn(now, |_| ());
     }
 
@@ -236,8 +236,8 @@
                 Ok(Some(entry)) => {
                     return self.propose(now, &entry, by, Proposed::Core { ticket, wish });
                 }
-                Ok(None) => (ticket, Answer::Taken),
-                Err(unfit) => (ticket, Answer::Unfit(unfit)),
+                Ok(None) => (ticket, Answer::Accepted),
+                Err(unfit) => (ticket, Answer::MembershipRefused(unfit)),
             },
             Settled::Read(Reading::Trial(ticket, tenant, lapse), Some(by)) => {
                 match self.order_trial(now, by, ticket, tenant, lapse) {
@@ -251,7 +251,7 @@
                 | Reading::Core(ticket, _)
                 | Reading::Trial(ticket, ..),
                 None,
-            ) => (ticket, Answer::Elsewhere(self.elsewhere())),
+            ) => (ticket, Answer::NotLeader(self.leader_redirect())),
             Settled::Entry(Proposed::Forget, _) => {
                 if let Some(lead) = &mut self.lead {
                     lead.forgets = false;
@@ -266,12 +266,12 @@
             }
             Settled::Entry(Proposed::Generations, _) => return self.generations_settled(),
             Settled::Entry(Proposed::Lend(ticket, call), Some(_)) => {
-                (ticket, self.lend_to_new(now, &call).map_or_else(Answer::Elsewhere, Answer::Units))
+                (ticket, self.lend_to_new(now, &call).map_or_else(Answer::NotLeader, Answer::Units))
             }
             Settled::Entry(Proposed::Put { ticket, patch, base, version }, outcome) => {
                 self.out.events.push(Event::ConfigChange { patch, base, version, outcome });
                 let answer = match outcome {
-                    Some(Outcome::Taken) => Answer::Taken,
+                    Some(Outcome::Taken) => Answer::Accepted,
                     Some(Outcome::Conflict) => Answer::Conflict(None),
                     Some(Outcome::Diverged) | None => Answer::Unknown,
                 };
@@ -279,22 +279,22 @@
             }
             Settled::Entry(Proposed::Core { ticket, wish }, outcome) => {
                 let answer = match outcome {
-                    Some(Outcome::Taken) => Answer::Taken,
+                    Some(Outcome::Taken) => Answer::Accepted,
                     // What came first may have been another copy of this very order.
                     Some(Outcome::Conflict) => match self.core_entry(now, &wish) {
-                        Ok(None) => Answer::Taken,
+                        Ok(None) => Answer::Accepted,
                         _ => Answer::Conflict(None),
                     },
                     Some(Outcome::Diverged) | None => Answer::Unknown,
                 };
-                self.out.events.push(Event::CoreOrder { wish, outcome });
+                self.out.events.push(Event::MembershipOrder { request: wish, outcome });
                 (ticket, answer)
             }
             Settled::Entry(Proposed::Stage { tenant, base }, _) => {
                 return self.stage_settled(now, &tenant, base)
             }
             Settled::Entry(Proposed::Trial { ticket, tenant, lapse, answer_by }, outcome) => match outcome {
-                Some(Outcome::Taken) => (ticket, Answer::Taken),
+                Some(Outcome::Taken) => (ticket, Answer::Accepted),
                 // A stage came first, or another operator: made anew on top of it.
                 Some(Outcome::Conflict) => match self.order_trial(now, answer_by, ticket, tenant, lapse) {
                     Some(answer) => (ticket, answer),
@@ -303,12 +303,12 @@
                 Some(Outcome::Diverged) | None => (ticket, Answer::Unknown),
             },
             Settled::Entry(Proposed::Zone { ticket, zone, back }, Some(_)) => {
-                self.out.events.push(Event::Evacuation { zone, back });
-                (ticket, Answer::Taken)
+                self.out.events.push(Event::Evacuation { zone, ended: back });
+                (ticket, Answer::Accepted)
             }
             // Also where this member only passes it on.
             Settled::Entry(Proposed::Lend(ticket, _) | Proposed::Zone { ticket, .. }, None) => {
-                (ticket, Answer::Elsewhere(self.elsewhere()))
+                (ticket, Answer::NotLeader(self.leader_redirect()))
             }
         };
         self.out.answers.push((ticket, answer));
--- a/crates/replica/src/machine.rs
+++ b/crates/replica/src/replica.rs
@@ -1,11 +1,11 @@
 //! The machine: time, messages, the disk, and what follows from what the agreement puts out.
 
-use crate::calls::{Confirming, Proposed, Settled};
 use crate::change::Checked;
 use crate::divergence::Divergence;
 use crate::effects::{Effects, Event, Ticket};
-use crate::follow::HOLD_MS;
+use crate::follower::WATCH_HOLD_MS;
 use crate::leader::Lead;
+use crate::pending_calls::{Confirming, Proposed, Settled};
 use crate::state::{Entry, ReplicatedState};
 use nickeljunction_consensus::{Consensus, Envelope, Outputs, ReadTicket, Restored, Tuning};
 use nickeljunction_messages::{Caller, GatewayInfo, LeaderRedirect, WatchAnswer, WatchCall};
@@ -23,7 +23,7 @@
 /// It is written again after so long, ms, whether it has changed or not.
 const HINT_AGAIN_MS: u64 = 3_000;
 /// An older hint is of no use to a next process, ms: servers that live have beaten since.
-pub const HINT_GOOD_MS: u64 = 8_000;
+pub const SAVED_CACHE_MAX_AGE_MS: u64 = 8_000;
 /// Entries applied between two snapshots of the log, at least and at most.
 const SNAPSHOT_ENTRIES: (u64, u64) = (64, 4_096);
 /// Between the two it is taken once the entries since the last one make up this part of its bytes: a large state isn't
@@ -32,7 +32,7 @@
 
 /// What a member needs to know of itself.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct MemberConfig {
     /// Name of its machine.
     pub name: String,
     /// IP address of its machine.
@@ -48,7 +48,7 @@
 /// One core member. See the crate's page for how it is driven.
 #[derive(Debug)]
 pub struct Replica {
-    pub(crate) place: Rc<Place>,
+    pub(crate) place: Rc<MemberConfig>,
     /// A leader whose majority has not answered for so long answers nobody: below the time in which another one can be
     /// elected.
     pub(crate) lease_ms: u64,
@@ -89,7 +89,7 @@
 
 impl Replica {
     /// A member that has loaded its disk. `seed` is for the random part of election times and differs between machines.
-    pub fn new(place: Rc<Place>, restored: Restored, tuning: Tuning, seed: u64, now: u64) -> Replica {
+    pub fn new(place: Rc<MemberConfig>, restored: Restored, tuning: Tuning, seed: u64, now: u64) -> Replica {
         Replica {
             place,
             lease_ms: tuning.election_min_ms,
@@ -119,7 +119,7 @@
     }
 
     /// What was known of servers and gateways when this machine's process before ended.
-    pub fn remember(&mut self, copy: WatchCache) {
+    pub fn load_watch_cache(&mut self, copy: WatchCache) {
         self.copy = copy;
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Messages of other members came in.
-    pub fn heard(&mut self, now: u64, messages: Vec<Envelope>) {
+    pub fn receive(&mut self, now: u64, messages: Vec<Envelope>) {
         self.turn(now, |book| messages.into_iter().for_each(|message| book.step(now, message)));
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Other hosts where members may be found, for one that isn't a member.
-    pub fn seek(&mut self, now: u64, hosts: &[String]) {
+    pub fn add_seed_hosts(&mut self, now: u64, hosts: &[String]) {
         self.turn(now, |book| book.add_seed_hosts(hosts));
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// What is to be done now; see the crate's page.
-    pub fn take(&mut self) -> Effects {
+    pub fn take_effects(&mut self) -> Effects {
         std::mem::take(&mut self.out)
     }
 
@@ -212,7 +212,7 @@
                 self.go_on(now, settled);
             }
         }
-        self.out.sooner = true;
+        self.out.wake_changed = true;
     }
 
     fn carry_out(&mut self, now: u64, outputs: Outputs) {
@@ -241,7 +241,7 @@
             let mut is_silent = false;
             let outcome = entry.data().and_then(|data| match serde_json::from_str::<Entry>(data) {
                 Ok(change) => {
-                    is_silent = change.is_silent();
+                    is_silent = change.is_unpublished();
                     self.apply(now, entry.index, change)
                 }
                 Err(error) => {
@@ -258,11 +258,11 @@
             self.out.applied.push(entry);
         }
         self.rejoin(now);
-        let (orders, order) = self.state.core();
+        let (orders, order) = self.state.membership_order();
         if self.away_from != orders {
             self.away_from = orders;
-            self.book.set_exclusions(order.away.clone());
-            self.book.set_requested_host(order.come.clone());
+            self.book.set_exclusions(order.excluded.clone());
+            self.book.set_requested_host(order.requested_host.clone());
         }
         self.out.send.extend(outputs.send);
         self.out.writes.extend(outputs.writes);
@@ -340,21 +340,21 @@
         };
         if copy.is_complete() {
             (self.noted, self.noted_at) = (known, now);
-            self.out.hint = Some(copy);
+            self.out.watch_cache_to_save = Some(copy);
         }
     }
 
     // ---- For followers ----
 
     /// Who leads, as far as is known here; never this machine.
-    pub fn elsewhere(&self) -> LeaderRedirect {
+    pub fn leader_redirect(&self) -> LeaderRedirect {
         let leader = self.book.leader().map(|member| member.host);
         LeaderRedirect { leader: leader.filter(|host| *host != self.place.host) }
     }
 
     /// The call that asks a leader for what is new.
-    pub fn ask(&self, life: u64) -> WatchCall {
-        let call = self.copy.watch_call(Caller::Core, &self.place.name, life, None, HOLD_MS);
+    pub fn watch_call(&self, life: u64) -> WatchCall {
+        let call = self.copy.watch_call(Caller::Core, &self.place.name, life, None, WATCH_HOLD_MS);
         WatchCall { diverged: self.wants_state(), ..call }
     }
 
@@ -362,7 +362,11 @@
     ///
     /// # Errors
     /// It leads back.
-    pub fn learned(&mut self, now: u64, mut answer: WatchAnswer) -> Result<CatalogUpdate, ApplyError> {
+    pub fn apply_watch_answer(
+        &mut self,
+        now: u64,
+        mut answer: WatchAnswer,
+    ) -> Result<CatalogUpdate, ApplyError> {
         // A leader's own registers are the truth.
         if self.lead.is_some() {
             return Ok(CatalogUpdate::default());
@@ -376,12 +380,12 @@
     // ---- To look at ----
 
     /// The agreement.
-    pub fn book(&self) -> &Consensus {
+    pub fn consensus(&self) -> &Consensus {
         &self.book
     }
 
     /// Index of the last entry that [`Replica::state`] holds.
-    pub fn applied(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.applied
     }
 
@@ -396,12 +400,12 @@
     }
 
     /// What a leader told, while another one leads.
-    pub fn copy(&self) -> &WatchCache {
+    pub fn watch_cache(&self) -> &WatchCache {
         &self.copy
     }
 
     /// The registers and the counter, while this member leads.
-    pub fn leads(&self) -> Option<(&Register, &Counter)> {
+    pub fn leader_state(&self) -> Option<(&Register, &Counter)> {
         self.lead.as_ref().map(|lead| (&lead.register, &lead.counter))
     }
 
--- a/crates/replica/src/state.rs
+++ b/crates/replica/src/state.rs
@@ -1,8 +1,8 @@
 //! What must outlive everything, as the agreed log makes it: the configuration with its version, the evacuated zones, tenants'
 //! trials, and which gateways' processes have units. No I/O and no clock: entries go in, one after the other and the same at every member.
 
+use crate::change_history::{ChangeHistory, ChangeStatus, LegacyRecord};
 use crate::departures::Departures;
-use crate::order_memory::{FormerRecord, OrderMemory, Recall};
 use nickeljunction_consensus::Exclusion;
 use nickeljunction_operations::{OperationTable, OperationsEntry};
 use nickeljunction_registry::ConfigHistory;
@@ -48,7 +48,7 @@
         /// How many orders were on the log when it was made.
         base: u64,
         /// It, whole.
-        order: CoreOrder,
+        order: MembershipOrder,
     },
     /// A tenant's trial lapses, is restored, or goes on by a stage, on top of the step before.
     Trial {
@@ -59,16 +59,17 @@
         /// What is to become of it.
         order: TrialOrder,
         /// How many stages it has, by the configuration that who proposed this went by.
-        most: u32,
+        #[serde(rename = "most")]
+        stage_count: u32,
     },
     /// Processes of gateways that the counter may lend units to.
     Gateways {
         /// Those that come, by the number that each drew, with the names of their machines.
-        #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-        come: BTreeMap<u64, String>,
+        #[serde(rename = "come", default, skip_serializing_if = "BTreeMap::is_empty")]
+        added: BTreeMap<u64, String>,
         /// Those that have nothing in force any more.
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        gone: Vec<u64>,
+        #[serde(rename = "gone", default, skip_serializing_if = "Vec::is_empty")]
+        removed: Vec<u64>,
     },
     /// Servers that leave.
     Departures {
@@ -88,20 +89,20 @@
 
 impl Entry {
     /// It changes nothing that gateways, servers or other members are told.
-    pub fn is_silent(&self) -> bool {
+    pub fn is_unpublished(&self) -> bool {
         matches!(self, Entry::Operations(_))
     }
 }
 
 /// What operators last ordered on who is a member of the core.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CoreOrder {
+pub struct MembershipOrder {
     /// The host that is to become a member.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub come: Option<String>,
+    #[serde(rename = "come", default, skip_serializing_if = "Option::is_none")]
+    pub requested_host: Option<String>,
     /// Hosts that are to be none, that of this order last.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub away: Vec<Exclusion>,
+    #[serde(rename = "away", default, skip_serializing_if = "Vec::is_empty")]
+    pub excluded: Vec<Exclusion>,
 }
 
 /// What is to become of a tenant's trial.
@@ -168,20 +169,20 @@
 /// A document with its digest, which is not written: it is made anew of what is read.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(from = "Value")]
-struct Held {
+struct DigestedDocument {
     doc: Value,
     digest: DocumentDigest,
 }
 
-impl Serialize for Held {
+impl Serialize for DigestedDocument {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         self.doc.serialize(to)
     }
 }
 
-impl From<Value> for Held {
-    fn from(doc: Value) -> Held {
-        Held { digest: DocumentDigest::of(&doc), doc }
+impl From<Value> for DigestedDocument {
+    fn from(doc: Value) -> DigestedDocument {
+        DigestedDocument { digest: DocumentDigest::of(&doc), doc }
     }
 }
 
@@ -189,20 +190,20 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     version: u64,
-    doc: Held,
+    doc: DigestedDocument,
     /// As former programs kept it: they want the list, which stays empty here.
     #[serde(default)]
-    taken: Vec<FormerRecord>,
+    taken: Vec<LegacyRecord>,
     /// Changes that were taken.
     #[serde(default)]
-    orders: OrderMemory,
+    orders: ChangeHistory,
     evacuated: BTreeSet<String>,
     /// Processes of gateways that units may be lent to, or were, with the names of their machines.
     #[serde(default)]
     gateways: BTreeMap<u64, String>,
     /// How many orders on the core's members were taken, and the last one.
     #[serde(default, skip_serializing_if = "is_none_yet")]
-    core: (u64, CoreOrder),
+    core: (u64, MembershipOrder),
     /// Trials by tenant, all that ever changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     trials: BTreeMap<String, Trial>,
@@ -214,18 +215,18 @@
     operations: OperationTable,
 }
 
-fn is_none_yet(core: &(u64, CoreOrder)) -> bool {
+fn is_none_yet(core: &(u64, MembershipOrder)) -> bool {
     core.0 == 0
 }
 
 impl ReplicatedState {
     /// Takes the next entry of the log.
     pub fn apply(&mut self, entry: Entry) -> Outcome {
-        self.apply_noting(entry, &mut ConfigHistory::default())
+        self.apply_recording(entry, &mut ConfigHistory::default())
     }
 
     /// The same; which places of the document it changed is added to `changes`.
-    pub fn apply_noting(&mut self, entry: Entry, changes: &mut ConfigHistory) -> Outcome {
+    pub fn apply_recording(&mut self, entry: Entry, changes: &mut ConfigHistory) -> Outcome {
         match entry {
             Entry::Put { base, version, digest, doc } => {
                 if let Some(settled) = self.settled(base, version, &digest) {
@@ -239,7 +240,7 @@
                 if let Some(settled) = self.settled(base, version, &digest) {
                     return settled;
                 }
-                let Held { doc, digest: held } = &mut self.doc;
+                let DigestedDocument { doc, digest: held } = &mut self.doc;
                 let places = change.places(doc);
                 let undo = Difference::of_places(doc, &places);
                 let trials = doc["trials"].clone();
@@ -266,10 +267,10 @@
             }
             // An order that was on its way when a configuration took its tenant away.
             Entry::Trial { tenant, .. } if !self.has_tenant(&tenant) => return Outcome::Conflict,
-            Entry::Trial { tenant, order, most, .. } => self.turn(&tenant, order, most),
-            Entry::Gateways { come, gone } => {
-                self.gateways.retain(|life, _| !gone.contains(life));
-                self.gateways.extend(come);
+            Entry::Trial { tenant, order, stage_count, .. } => self.turn(&tenant, order, stage_count),
+            Entry::Gateways { added, removed } => {
+                self.gateways.retain(|incarnation, _| !removed.contains(incarnation));
+                self.gateways.extend(added);
             }
             Entry::Departures { draining, ended, forgotten } => {
                 self.departures.apply(draining, ended, &forgotten);
@@ -281,7 +282,7 @@
 
     /// What becomes of a configuration without a look at it; `None`: it comes into force.
     fn settled(&self, base: u64, version: u64, digest: &str) -> Option<Outcome> {
-        if self.knows(version, digest) {
+        if self.was_accepted(version, digest) {
             return Some(Outcome::Taken);
         }
         // Two operators' changes of one version may both be on the log: the first one wins, at every member.
@@ -339,13 +340,13 @@
     }
 
     /// This very call was taken before, as far as is remembered.
-    pub fn knows(&self, version: u64, digest: &str) -> bool {
-        self.recall(version, digest) == Recall::Taken
+    pub fn was_accepted(&self, version: u64, digest: &str) -> bool {
+        self.change_status(version, digest) == ChangeStatus::Taken
     }
 
     /// What became of this very call.
-    pub fn recall(&self, version: u64, digest: &str) -> Recall {
-        self.orders.recall(version, digest)
+    pub fn change_status(&self, version: u64, digest: &str) -> ChangeStatus {
+        self.orders.status(version, digest)
     }
 
     /// Version in force; 0: none yet.
@@ -385,7 +386,7 @@
     }
 
     /// How many orders on the core's members were taken, and the last one.
-    pub fn core(&self) -> (u64, &CoreOrder) {
+    pub fn membership_order(&self) -> (u64, &MembershipOrder) {
         (self.core.0, &self.core.1)
     }
 
@@ -433,16 +434,18 @@
         state.apply(Entry::Evacuate("z2".into()));
         state.apply(Entry::Return("z1".into()));
         let come = |life: u64| BTreeMap::from([(life, format!("edge-{life}"))]);
-        state.apply(Entry::Gateways { come: come(u64::MAX), gone: Vec::new() });
-        state.apply(Entry::Gateways { come: come(8), gone: vec![u64::MAX] });
+        state.apply(Entry::Gateways { added: come(u64::MAX), removed: Vec::new() });
+        state.apply(Entry::Gateways { added: come(8), removed: vec![u64::MAX] });
         assert!(!state.to_text().contains("core"), "where nobody ordered, snapshots are as they were");
-        let order =
-            CoreOrder { come: Some("h4".into()), away: vec![Exclusion { host: "h1".into(), after: None }] };
+        let order = MembershipOrder {
+            requested_host: Some("h4".into()),
+            excluded: vec![Exclusion { host: "h1".into(), after: None }],
+        };
         assert_eq!(state.apply(Entry::Core { base: 0, order: order.clone() }), Outcome::Taken);
-        let late = Entry::Core { base: 0, order: CoreOrder::default() };
+        let late = Entry::Core { base: 0, order: MembershipOrder::default() };
         assert_eq!(state.apply(late), Outcome::Conflict, "it was made without the other one in view");
         let mut back = ReplicatedState::from_text(&state.to_text()).expect("own text");
-        assert_eq!(back.core(), (1, &order));
+        assert_eq!(back.membership_order(), (1, &order));
         assert_eq!(back, state);
         assert!(back.evacuated().iter().eq(["z2"]));
         assert_eq!(back.gateways(), &come(8));
@@ -458,7 +461,7 @@
     }
 
     fn trial(base: u64, order: TrialOrder) -> Entry {
-        Entry::Trial { tenant: "peach".into(), base, order, most: 3 }
+        Entry::Trial { tenant: "peach".into(), base, order, stage_count: 3 }
     }
 
     /// Step, whether it lapses, stage.
--- a/crates/replica/src/lapsed_trials.rs
+++ b/crates/replica/src/trials.rs
@@ -1,8 +1,8 @@
 //! Tenants' trials: orders on them, when the next stage is due at the leader, and shares of paces (gradual throttling).
 
-use crate::calls::Proposed;
 use crate::effects::Event;
-use crate::machine::Replica;
+use crate::pending_calls::Proposed;
+use crate::replica::Replica;
 use crate::state::{Entry, ReplicatedState, Trial, TrialOrder};
 use nickeljunction_messages::{LeaderRedirect, PaceSharesAnswer, PaceSharesCall};
 use nickeljunction_pacing::{Pacer, StageSchedule};
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// From so long after it was taken, ms, a step holds: every gateway in touch has heard of it by then.
-pub const HOLDS_AFTER_MS: u64 = 300;
+pub const STEP_EFFECTIVE_AFTER_MS: u64 = 300;
 /// A stage that didn't come onto the log is proposed again after so long, ms.
 const AGAIN_MS: u64 = 200;
 
@@ -83,7 +83,7 @@
             let trial = state.trial(tenant);
             if trial != turn.trial {
                 // What is older than this lead may hold at some gateways since long.
-                let holds = if live { now + HOLDS_AFTER_MS } else { now };
+                let holds = if live { now + STEP_EFFECTIVE_AFTER_MS } else { now };
                 (turn.trial, turn.taken, turn.holds) = (trial, now, holds);
                 (turn.proposed, turn.not_before) = (false, 0);
                 changed.push(tenant.clone());
@@ -143,7 +143,7 @@
 
 impl Replica {
     /// The trials of all tenants as this member, which leads, sees them.
-    pub fn trials(&mut self, now: u64) -> BTreeMap<String, TrialView> {
+    pub fn trial_views(&mut self, now: u64) -> BTreeMap<String, TrialView> {
         let config = self.config();
         let tides = self.lead.as_ref().map(|lead| &lead.tides);
         let view = |tenant: &String| {
@@ -177,7 +177,7 @@
         let trial = self.state.trial(tenant);
         let order = if lapse { TrialOrder::Lapse } else { TrialOrder::Restore };
         let most = StageSchedule::for_tenant(&self.config(), tenant).stage_count();
-        let entry = Entry::Trial { tenant: tenant.to_owned(), base: trial.step, order, most };
+        let entry = Entry::Trial { tenant: tenant.to_owned(), base: trial.step, order, stage_count: most };
         Ok((trial.lapses != lapse).then_some(entry))
     }
 
@@ -192,7 +192,12 @@
             if turn.due().is_some_and(|due| due <= now) {
                 turn.proposed = true;
                 let (base, most) = (turn.trial.step, turn.curve.stage_count());
-                entries.push(Entry::Trial { tenant: tenant.clone(), base, order: TrialOrder::Stage, most });
+                entries.push(Entry::Trial {
+                    tenant: tenant.clone(),
+                    base,
+                    order: TrialOrder::Stage,
+                    stage_count: most,
+                });
             }
         }
         for entry in entries {
@@ -232,7 +237,11 @@
     ///
     /// # Errors
     /// This member doesn't lead, or is not sure of it.
-    pub fn ebb(&mut self, now: u64, call: &PaceSharesCall) -> Result<PaceSharesAnswer, LeaderRedirect> {
+    pub fn request_pace_shares(
+        &mut self,
+        now: u64,
+        call: &PaceSharesCall,
+    ) -> Result<PaceSharesAnswer, LeaderRedirect> {
         self.with_lead(now, |lead, _| {
             let gateways = lead.register.gateway_count() as usize;
             let mut pacer = std::mem::take(&mut lead.tides.pacer);
--- a/crates/replica/tests/catch_up.rs
+++ b/crates/replica/tests/catch_up.rs
@@ -1,10 +1,10 @@
 //! A member is away for some changes and comes back while more come: by log or by snapshot, over good and thin lines, with
 //! a slow and with a full disk. In each world whoever begins to lead has all that was acknowledged, no member's state goes
-//! back, and in the end all have the same ([`away::World`] checks it).
+//! back, and in the end all have the same ([`cluster::Cluster`] checks it).
 
-mod away;
+mod cluster;
 
-use away::{Caught, World};
+use cluster::{Caught, Cluster};
 
 /// Longest time that any of these may take, ms.
 const WITHIN_MS: u64 = 30_000;
@@ -13,14 +13,14 @@
 const THIN: usize = 120;
 
 /// A follower that ends and is away for some changes.
-fn away(world: &mut World, changes: usize) -> usize {
+fn away(world: &mut Cluster, changes: usize) -> usize {
     let node = world.followers()[0];
     world.kill(node);
     world.changes(changes);
     node
 }
 
-fn back_after(world: &mut World, changes: usize) -> Caught {
+fn back_after(world: &mut Cluster, changes: usize) -> Caught {
     let node = away(world, changes);
     let caught = world.come_back(node, 100, WITHIN_MS);
     caught.unwrap_or_else(|| panic!("it never caught up after {changes} changes"))
@@ -30,7 +30,7 @@
 fn a_member_comes_back_after_any_number_of_changes() {
     for (changes, most_bytes) in [(1, 4_000), (10, 10_000), (100, 60_000), (1_000, 60_000)] {
         for seed in 0..2 {
-            let mut world = World::new(seed, 20);
+            let mut world = Cluster::new(seed, 20);
             let caught = back_after(&mut world, changes);
             assert!(caught.ms <= 1_000 && caught.bytes <= most_bytes, "{changes}, seed {seed}: {caught:?}");
             world.converge();
@@ -42,7 +42,7 @@
 #[test]
 fn a_thin_line_brings_a_large_state_though_changes_go_on() {
     for seed in 0..2 {
-        let mut world = World::large(seed, 20, LARGE);
+        let mut world = Cluster::large(seed, 20, LARGE);
         let node = world.followers()[0];
         world.thin = Some((node, THIN));
         let caught = back_after(&mut world, 1_000);
@@ -61,7 +61,7 @@
 /// By the log alone, more entries than go through in the time of one call.
 #[test]
 fn a_thin_line_brings_many_entries() {
-    let mut world = World::large(5, 20, 2 * LARGE);
+    let mut world = Cluster::large(5, 20, 2 * LARGE);
     world.thin = Some((world.followers()[0], THIN));
     let caught = back_after(&mut world, 120);
     assert!(!caught.by_snapshot && caught.ms < 10_000, "{caught:?}");
@@ -74,7 +74,7 @@
 fn a_leader_keeps_its_lead_while_it_teaches_its_only_other_member_over_a_thin_line() {
     // By 220 kB of entries, and by a snapshot, which heartbeats pass.
     for (seed, changes, more) in [(0, 110, 2_000), (1, 110, 2_000), (2, 700, 0), (3, 700, 0)] {
-        let mut world = World::large(seed, 20, if more > 0 { 2 * LARGE } else { LARGE });
+        let mut world = Cluster::large(seed, 20, if more > 0 { 2 * LARGE } else { LARGE });
         world.more = more;
         let node = away(&mut world, changes);
         world.thin = Some((node, THIN));
@@ -98,7 +98,7 @@
 #[test]
 fn a_slow_disk_and_a_full_one_delay_it_and_no_more() {
     for (changes, seed) in [(20, 1), (400, 2)] {
-        let mut world = World::new(seed, 20);
+        let mut world = Cluster::new(seed, 20);
         let node = world.followers()[0];
         world.disk_ms(node, 400);
         let caught = back_after(&mut world, changes);
@@ -123,7 +123,7 @@
 #[test]
 fn interrupted_and_late_snapshots_lead_nowhere_back() {
     for seed in 0..4 {
-        let mut world = World::large(seed, 20, LARGE);
+        let mut world = Cluster::large(seed, 20, LARGE);
         world.thin = Some((world.followers()[0], THIN));
         let node = away(&mut world, 600);
         for round in 0..3 {
@@ -149,7 +149,7 @@
 fn who_comes_back_never_leads_with_old_state() {
     let mut leads = 0;
     for seed in 0..24 {
-        let mut world = World::new(seed, 20);
+        let mut world = Cluster::new(seed, 20);
         world.thin = (seed % 2 == 0).then(|| (world.followers()[0], THIN));
         let node = away(&mut world, [1, 10, 90][seed as usize % 3]);
         world.start(node);
--- a/crates/replica/tests/order_memory.rs
+++ b/crates/replica/tests/change_history.rs
@@ -1,13 +1,13 @@
 //! What is remembered of operators' changes: repeats long after, its end, and snapshots of former programs.
 
-mod alone;
+mod single_member;
 
-use alone::{document, patch, Alone};
-use nickeljunction_replica::order_memory::{Recall, REMEMBERED};
+use nickeljunction_replica::change_history::{ChangeStatus, MAX_CHANGES};
 use nickeljunction_replica::state::{Entry, Outcome, ReplicatedState};
 use nickeljunction_replica::{Answer, Change};
 use nickeljunction_schema::call_digest;
 use serde_json::{json, Value};
+use single_member::{document, patch, SingleMember};
 
 /// Changes of a day that is planned for.
 const DAY: u64 = 4_300;
@@ -36,53 +36,61 @@
 
 #[test]
 fn a_change_is_known_after_thousands_of_later_ones_and_a_snapshot_and_then_forgotten_openly() {
-    let most = REMEMBERED as u64;
+    let most = MAX_CHANGES as u64;
     let full = state_after(most);
     let mut state = ReplicatedState::from_text(&full.to_text()).expect("its own text");
     assert_eq!(state, full);
     for version in (1..=most).map(|number| number * STEP) {
-        assert_eq!(state.recall(version, &digest(version)), Recall::Taken, "version {version}");
-        assert_eq!(state.recall(version, "another"), Recall::NotTaken, "the same number, another change");
-        assert_eq!(state.recall(version - 1, &digest(version)), Recall::NotTaken, "a number between two");
+        assert_eq!(state.change_status(version, &digest(version)), ChangeStatus::Taken, "version {version}");
+        assert_eq!(
+            state.change_status(version, "another"),
+            ChangeStatus::NotTaken,
+            "the same number, another change"
+        );
+        assert_eq!(
+            state.change_status(version - 1, &digest(version)),
+            ChangeStatus::NotTaken,
+            "a number between two"
+        );
     }
     state.apply(entry(most * STEP, (most + 1) * STEP));
     let state = ReplicatedState::from_text(&state.to_text()).expect("its own text");
     for version in 1..=STEP {
-        assert_eq!(state.recall(version, &digest(STEP)), Recall::Forgotten, "version {version}");
+        assert_eq!(state.change_status(version, &digest(STEP)), ChangeStatus::Forgotten, "version {version}");
     }
-    assert_eq!(state.recall(2 * STEP, &digest(2 * STEP)), Recall::Taken);
-    assert_eq!(state.recall(STEP + 1, "any"), Recall::NotTaken, "above all that was forgotten");
+    assert_eq!(state.change_status(2 * STEP, &digest(2 * STEP)), ChangeStatus::Taken);
+    assert_eq!(state.change_status(STEP + 1, "any"), ChangeStatus::NotTaken, "above all that was forgotten");
 }
 
 #[test]
 fn a_days_first_change_is_known_at_its_end() {
     let day = ReplicatedState::from_text(&state_after(DAY).to_text()).expect("its own text");
-    assert_eq!(day.recall(STEP, &digest(STEP)), Recall::Taken);
+    assert_eq!(day.change_status(STEP, &digest(STEP)), ChangeStatus::Taken);
 }
 
 #[test]
 fn operators_get_200_within_the_memory_and_no_refusal_beyond_it() {
-    let most = REMEMBERED as u64;
-    let mut core = Alone::new(&state_after(most - 1).to_text(), &[]);
+    let most = MAX_CHANGES as u64;
+    let mut core = SingleMember::new(&state_after(most - 1).to_text(), &[]);
     let newest = (most - 1) * STEP;
-    assert_eq!(core.send(true, 0, &patch(STEP)), Answer::Taken, "the very first, its base long gone");
+    assert_eq!(core.send(true, 0, &patch(STEP)), Answer::Accepted, "the very first, its base long gone");
     let in_place = |version| Answer::Conflict(Some(version));
     assert_eq!(core.send(false, 0, &document(STEP)), in_place(newest), "a whole one of that number");
-    assert_eq!(core.send(true, newest, &patch(newest + STEP)), Answer::Taken);
-    assert_eq!(core.send(true, newest + STEP, &patch(newest + 2 * STEP)), Answer::Taken);
+    assert_eq!(core.send(true, newest, &patch(newest + STEP)), Answer::Accepted);
+    assert_eq!(core.send(true, newest + STEP, &patch(newest + 2 * STEP)), Answer::Accepted);
     // The oldest is forgotten now.
     for body in [patch(STEP), patch(STEP - 1)] {
         let version = body["config_version"].as_u64().expect("a number");
         assert_eq!(core.send(true, 0, &body), Answer::Forgotten(version));
     }
     assert_eq!(core.send(false, 0, &document(1)), Answer::Forgotten(1));
-    assert_eq!(core.send(true, STEP, &patch(2 * STEP)), Answer::Taken, "the oldest that is remembered");
+    assert_eq!(core.send(true, STEP, &patch(2 * STEP)), Answer::Accepted, "the oldest that is remembered");
     // What is certain is said all the same.
     assert_eq!(core.send(true, 0, &patch(STEP + 1)), in_place(newest + 2 * STEP));
     let invalid = json!({"config_version": 1, "routes": {"r": {}}});
-    assert!(matches!(core.send(false, 0, &invalid), Answer::Wrong(_)), "no program took it");
+    assert!(matches!(core.send(false, 0, &invalid), Answer::Invalid(_)), "no program took it");
     let not_above = core.send(true, newest + 2 * STEP, &patch(1));
-    assert!(matches!(not_above, Answer::Wrong(_)), "on the newest, and not above it: {not_above:?}");
+    assert!(matches!(not_above, Answer::Invalid(_)), "on the newest, and not above it: {not_above:?}");
 }
 
 #[test]
@@ -92,17 +100,17 @@
     body["routes"]["r"]["max_attempts"] = json!(0);
     let digest = call_digest("PUT", Some(0), body.to_string().as_bytes());
     let taken = Entry::Put { base: 0, version: 2, digest, doc: body.clone() };
-    let mut core = Alone::new("", &[serde_json::to_string(&taken).expect("JSON")]);
+    let mut core = SingleMember::new("", &[serde_json::to_string(&taken).expect("JSON")]);
     assert_eq!(core.replica.state().version(), 2);
-    assert_eq!(core.send(false, 0, &body), Answer::Taken);
-    assert!(matches!(core.send(false, 2, &body), Answer::Wrong(_)), "another order");
+    assert_eq!(core.send(false, 0, &body), Answer::Accepted);
+    assert!(matches!(core.send(false, 2, &body), Answer::Invalid(_)), "another order");
     let change = Change {
         patch: false,
         base: Some(0),
         body: br#"{"config_version":2,"config_version":2}"#[..].into(),
     };
-    core.replica.change(core.now, change);
-    assert!(matches!(core.write()[..], [Answer::Wrong(_)]), "a number that stands twice");
+    core.replica.change_config(core.now, change);
+    assert!(matches!(core.write()[..], [Answer::Invalid(_)]), "a number that stands twice");
 }
 
 /// As a former program wrote it, with so many changes.
@@ -121,12 +129,12 @@
     let full = ReplicatedState::from_text(&former(64, 100)).expect("a former text");
     assert_eq!((full.version(), full.gateways().len()), (163 * STEP, 1));
     for version in (100..164).map(|number| number * STEP) {
-        assert_eq!(full.recall(version, &digest(version)), Recall::Taken);
-        assert_eq!(full.recall(version, "another"), Recall::NotTaken);
+        assert_eq!(full.change_status(version, &digest(version)), ChangeStatus::Taken);
+        assert_eq!(full.change_status(version, "another"), ChangeStatus::NotTaken);
     }
-    assert_eq!(full.recall(99 * STEP, &digest(99 * STEP)), Recall::Forgotten, "it kept only 64");
+    assert_eq!(full.change_status(99 * STEP, &digest(99 * STEP)), ChangeStatus::Forgotten, "it kept only 64");
     let all = ReplicatedState::from_text(&former(63, 1)).expect("a former text");
-    assert_eq!(all.recall(STEP - 1, "any"), Recall::NotTaken, "it had forgotten nothing");
+    assert_eq!(all.change_status(STEP - 1, "any"), ChangeStatus::NotTaken, "it had forgotten nothing");
     let text = full.to_text();
     assert_eq!(ReplicatedState::from_text(&text).expect("its own text"), full);
     // A former program wants the list, and opens it without its repeats.
--- a/crates/replica/tests/away/mod.rs
+++ b/crates/replica/tests/cluster/mod.rs
@@ -6,7 +6,7 @@
 use nickeljunction_consensus::{bootstrap_member_id, Envelope, Msg, Restored, Tuning, Write};
 use nickeljunction_messages::Member;
 use nickeljunction_replica::outbox::{Lane, Outbox};
-use nickeljunction_replica::{Answer, Change, Event, Place, Replica, Ticket};
+use nickeljunction_replica::{Answer, Change, Event, MemberConfig, Replica, Ticket};
 use nickeljunction_schema::Bounds;
 use nickeljunction_storage::{LogStore, MemoryLogStore};
 use serde_json::{json, Map, Value};
@@ -67,7 +67,7 @@
     pub by_snapshot: bool,
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: u64,
     nodes: Vec<Node>,
     due: BTreeMap<(u64, u64), Due>,
@@ -91,14 +91,14 @@
     seed: u64,
 }
 
-impl World {
+impl Cluster {
     /// Three members that lead, with a document of so many routes in force.
-    pub fn new(seed: u64, routes: usize) -> World {
-        World::large(seed, routes, 0)
+    pub fn new(seed: u64, routes: usize) -> Cluster {
+        Cluster::large(seed, routes, 0)
     }
 
     /// The same; the document has so many bytes more, in a member of no meaning.
-    pub fn large(seed: u64, routes: usize, more: usize) -> World {
+    pub fn large(seed: u64, routes: usize, more: usize) -> Cluster {
         let node = |_| Node {
             replica: None,
             life: 0,
@@ -107,7 +107,7 @@
             writing: VecDeque::new(),
             version: 0,
         };
-        let mut world = World {
+        let mut world = Cluster {
             now: 1_000,
             nodes: (0..MEMBERS).map(node).collect(),
             due: BTreeMap::new(),
@@ -147,7 +147,8 @@
     pub fn leader(&self) -> Option<usize> {
         let sure = |node: &usize| {
             self.replica(*node).is_some_and(|replica| {
-                replica.leads().is_some() && replica.book().quorum_age(self.now).is_some_and(|age| age < 350)
+                replica.leader_state().is_some()
+                    && replica.consensus().quorum_age(self.now).is_some_and(|age| age < 350)
             })
         };
         (0..MEMBERS).filter(|node| !self.cut.contains(node)).find(sure)
@@ -162,7 +163,7 @@
 
     /// A process begins, from its disk where there is something.
     pub fn start(&mut self, node: usize) {
-        let place = Place {
+        let place = MemberConfig {
             name: format!("core-{node}"),
             host: host(node),
             zones: BTreeMap::from([("z1".into(), "r1".into())]),
@@ -212,7 +213,7 @@
 
     fn carry_out(&mut self, node: usize) {
         let Some(replica) = self.nodes[node].replica.as_mut() else { return };
-        let effects = replica.take();
+        let effects = replica.take_effects();
         let version = replica.state().version();
         assert!(version >= self.nodes[node].version, "member {node} went back to {version}");
         self.nodes[node].version = version;
@@ -275,8 +276,8 @@
             let begins = self.busy.get(&(from, to, lane)).copied().unwrap_or(0).max(self.now);
             let over = begins + takes + 2 * WAY_MS - self.now;
             let dark = self.cut.contains(&from) || self.cut.contains(&to) || self.nodes[to].replica.is_none();
-            let fits = over <= batch.patience_ms && !dark;
-            let ends = if fits { over } else { batch.patience_ms };
+            let fits = over <= batch.timeout_ms && !dark;
+            let ends = if fits { over } else { batch.timeout_ms };
             let (way, done) = (ends.saturating_sub(WAY_MS).max(1), ends.max(2));
             if !dark {
                 self.busy.insert((from, to, lane), begins.max(self.now + done - 2));
@@ -315,7 +316,7 @@
                 if let Some(messages) =
                     arrived.filter(|_| !self.cut.contains(&from) && !self.cut.contains(&to))
                 {
-                    self.act(to, |replica, now| replica.heard(now, messages));
+                    self.act(to, |replica, now| replica.receive(now, messages));
                 }
                 if let Some(outbox) = self.outboxes.get_mut(&(from, to)) {
                     outbox.done(lane);
@@ -338,7 +339,7 @@
         while self.step(end) {}
     }
 
-    pub fn until(&mut self, ms: u64, holds: impl Fn(&World) -> bool) -> bool {
+    pub fn until(&mut self, ms: u64, holds: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + ms;
         while !holds(self) {
             if !self.step(end) {
@@ -350,7 +351,7 @@
 
     /// Hands a message to a member as if it had been on its way all the time.
     pub fn deliver(&mut self, to: usize, envelope: Envelope) {
-        self.act(to, |replica, now| replica.heard(now, vec![envelope]));
+        self.act(to, |replica, now| replica.receive(now, vec![envelope]));
     }
 
     // ---- Operators ----
@@ -360,10 +361,12 @@
         let Some(leader) = self.leader() else { return false };
         let body = body.to_string().into();
         let change = Change { patch, base: Some(base), body };
-        let Some(ticket) = self.act(leader, |replica, now| replica.change(now, change)) else { return false };
+        let Some(ticket) = self.act(leader, |replica, now| replica.change_config(now, change)) else {
+            return false;
+        };
         let key = (leader, ticket);
         self.until(4_000, |world| world.answers.contains_key(&key));
-        let taken = self.answers.remove(&key) == Some(Answer::Taken);
+        let taken = self.answers.remove(&key) == Some(Answer::Accepted);
         if taken {
             self.acked = self.acked.max(version);
         }
@@ -431,7 +434,7 @@
 
     /// All members come to the same state.
     pub fn converge(&mut self) {
-        let same = |world: &World| {
+        let same = |world: &Cluster| {
             let newest = world.acked;
             (0..MEMBERS).all(|node| world.version(node) >= newest && world.version(node) == world.version(0))
         };
--- a/crates/replica/tests/departure_model.rs
+++ b/crates/replica/tests/departure_model.rs
@@ -90,7 +90,7 @@
     copy
 }
 
-struct World {
+struct Model {
     out: Option<Guard>,
     copy: WatchCache,
     now: u64,
@@ -108,10 +108,10 @@
     acknowledged: Option<u64>,
 }
 
-impl World {
-    fn new(copy: &WatchCache, out: Option<Guard>) -> World {
+impl Model {
+    fn new(copy: &WatchCache, out: Option<Guard>) -> Model {
         let now = 20_000;
-        World {
+        Model {
             out,
             copy: copy.clone(),
             now,
@@ -132,7 +132,7 @@
     }
 
     fn say(&mut self, departure: Departure) {
-        let number = self.log.note(ID, departure, &self.state);
+        let number = self.log.record(ID, departure, &self.state);
         self.waiting.push(number);
         self.propose();
     }
@@ -141,7 +141,7 @@
         if self.under_way.is_none() {
             self.under_way = self.log.next_entry();
         }
-        let logged = |number: &u64| self.log.has_logged(*number) || !self.has(Guard::AcknowledgeLogged);
+        let logged = |number: &u64| self.log.is_logged(*number) || !self.has(Guard::AcknowledgeLogged);
         if self.waiting.iter().any(logged) {
             self.acknowledged.get_or_insert(self.now);
         }
@@ -186,14 +186,14 @@
                 }
                 if let Some(entry) = self.under_way.take() {
                     self.apply(entry);
-                    self.log.settled(true);
+                    self.log.entry_settled(true);
                 }
                 self.propose();
             }
             Act::TimeOut => {
                 if let Some(entry) = self.under_way.take() {
                     self.open = Some(entry);
-                    self.log.settled(!self.has(Guard::ProposeAgain));
+                    self.log.entry_settled(!self.has(Guard::ProposeAgain));
                 }
                 self.propose();
             }
@@ -234,7 +234,7 @@
     let mut histories: u64 = 0;
     let mut acts = vec![0usize; depth];
     loop {
-        let mut world = World::new(&copy, out);
+        let mut world = Model::new(&copy, out);
         let mut played = depth;
         for (step, act) in acts.iter().enumerate() {
             world.act(ACTS[*act]);
--- a/crates/replica/tests/differences.rs
+++ b/crates/replica/tests/differences.rs
@@ -5,7 +5,7 @@
 };
 use nickeljunction_messages::{Member, WatchAnswer};
 use nickeljunction_replica::state::{Entry, Outcome, ReplicatedState};
-use nickeljunction_replica::{Answer, Change, Event, Place, Replica, Ticket};
+use nickeljunction_replica::{Answer, Change, Event, MemberConfig, Replica, Ticket};
 use nickeljunction_schema::Bounds;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -59,7 +59,7 @@
     fn new(seed: u64, odd: Option<usize>) -> Core {
         let member = |node| Member { id: bootstrap_member_id(&host(node)), host: host(node) };
         let house = |node: usize| {
-            let place = Place {
+            let place = MemberConfig {
                 name: format!("core-{node}"),
                 host: host(node),
                 zones: BTreeMap::from([("z1".into(), "r1".into())]),
@@ -88,7 +88,8 @@
 
     fn leader(&self) -> Option<usize> {
         let sure = |house: &Replica| {
-            house.leads().is_some() && house.book().quorum_age(self.now).is_some_and(|age| age < 350)
+            house.leader_state().is_some()
+                && house.consensus().quorum_age(self.now).is_some_and(|age| age < 350)
         };
         (0..MEMBERS).find(|node| sure(&self.houses[*node]))
     }
@@ -98,7 +99,7 @@
         let mut mail: VecDeque<(usize, usize, Envelope)> = VecDeque::new();
         let mut busy = vec![node];
         while let Some(node) = busy.pop() {
-            let effects = self.houses[node].take();
+            let effects = self.houses[node].take_effects();
             for write in &effects.writes {
                 if let Some(snapshot) = &write.snapshot {
                     self.snapshots[node] = snapshot.index;
@@ -115,7 +116,7 @@
             while busy.is_empty() {
                 let Some((from, to, envelope)) = mail.pop_front() else { break };
                 if !self.cut.contains(&from) && !self.cut.contains(&to) {
-                    self.houses[to].heard(self.now, vec![envelope]);
+                    self.houses[to].receive(self.now, vec![envelope]);
                     busy.push(to);
                 }
             }
@@ -136,7 +137,8 @@
 
     fn send(&mut self, node: usize, patch: bool, base: u64, body: &Value) -> Option<Answer> {
         let body = serde_json::to_vec(body).expect("JSON").into();
-        let ticket = self.at(node, |house, now| house.change(now, Change { patch, base: Some(base), body }));
+        let ticket =
+            self.at(node, |house, now| house.change_config(now, Change { patch, base: Some(base), body }));
         self.answers.remove(&ticket)
     }
 
@@ -160,21 +162,22 @@
     /// The leader's answer to a follower's call, by way of the wire.
     fn ask(&mut self, node: usize) -> Option<WatchAnswer> {
         let leader = self.leader().filter(|leader| *leader != node)?;
-        let call = self.houses[node].ask(5);
+        let call = self.houses[node].watch_call(5);
         let text = serde_json::to_string(&call).expect("JSON");
         let call = serde_json::from_str(&text).expect("own text");
-        let held = self.at(leader, |house, now| house.called(now, &call)).expect("it leads");
-        let answer = self.at(leader, |house, now| house.watch(now, &call, &held)).expect("it leads")?;
+        let held = self.at(leader, |house, now| house.begin_watch(now, &call)).expect("it leads");
+        let answer =
+            self.at(leader, |house, now| house.answer_watch(now, &call, &held)).expect("it leads")?;
         let text = serde_json::to_string(&answer).expect("JSON");
         Some(serde_json::from_str(&text).expect("own text"))
     }
 
     fn learn(&mut self, node: usize, answer: WatchAnswer) {
-        self.at(node, |house, now| house.learned(now, answer)).expect("no way back");
+        self.at(node, |house, now| house.apply_watch_answer(now, answer)).expect("no way back");
     }
 
     fn diverged(&self) -> Vec<usize> {
-        (0..MEMBERS).filter(|node| self.houses[*node].diverged()).collect()
+        (0..MEMBERS).filter(|node| self.houses[*node].is_diverged()).collect()
     }
 
     /// The newest entry that a member applied.
@@ -192,9 +195,9 @@
     // All of the ten that were there are gone.
     let routes = whole["routes"].as_object_mut().expect("a table");
     (0..10).for_each(|number| drop(routes.remove(&format!("r{number}"))));
-    assert_eq!(core.send(leader, false, 1, &whole), Some(Answer::Taken));
+    assert_eq!(core.send(leader, false, 1, &whole), Some(Answer::Accepted));
     assert!(matches!(core.newest(leader), Some((Entry::Put { version: 2, .. }, _))), "most of it is new");
-    assert_eq!(core.patch(17), Some(Answer::Taken));
+    assert_eq!(core.patch(17), Some(Answer::Accepted));
     let Some((Entry::Change { base: 2, version: 3, .. }, bytes)) = core.newest(leader) else {
         panic!("a patch is a difference")
     };
@@ -203,7 +206,7 @@
     let mut next = core.houses[leader].state().doc().clone();
     next["config_version"] = 9.into();
     next["routes"]["r50"]["timeout_s"] = 2.into();
-    assert_eq!(core.send(leader, false, 3, &next), Some(Answer::Taken));
+    assert_eq!(core.send(leader, false, 3, &next), Some(Answer::Accepted));
     assert!(matches!(core.newest(leader), Some((Entry::Change { version: 9, .. }, 0..=350))));
     core.run(300);
     for node in 0..MEMBERS {
@@ -270,7 +273,7 @@
             (0..MEMBERS).find(|odd| Core::new(seed, Some(*odd)).leader() != Some(*odd)).expect("a follower");
         let mut core = Core::new(seed, Some(odd));
         let leader = core.leader().expect("one leads");
-        assert_eq!(core.patch(1), Some(Answer::Taken));
+        assert_eq!(core.patch(1), Some(Answer::Accepted));
         core.run(200);
         assert_eq!(core.diverged(), [odd], "seed {seed}");
         let told = core
@@ -279,25 +282,25 @@
             .filter(|(node, event)| *node == odd && matches!(event, Event::Diverged { .. }));
         assert_eq!(told.count(), 1, "seed {seed}");
         for route in 2..5 {
-            assert_eq!(core.patch(route), Some(Answer::Taken));
+            assert_eq!(core.patch(route), Some(Answer::Accepted));
         }
-        core.at(leader, |house, now| house.zone(now, "z1".into(), false));
+        core.at(leader, |house, now| house.change_evacuation(now, "z1".into(), false));
         core.run(200);
         assert_eq!(core.houses[odd].state().version(), 1, "nothing more is applied");
         // The leader is gone: of the two that remain only the other one leads.
         core.cut.insert(leader);
         for _ in 0..6_000 {
             core.run(1);
-            assert!(core.houses[odd].leads().is_none(), "seed {seed}: it leads with old state");
+            assert!(core.houses[odd].leader_state().is_none(), "seed {seed}: it leads with old state");
         }
         let next = core.leader().expect("the other one leads");
         assert_ne!(next, odd);
-        assert_eq!(core.patch(5), Some(Answer::Taken));
+        assert_eq!(core.patch(5), Some(Answer::Accepted));
         core.follow(odd);
         core.run(200);
         core.cut.clear();
         core.run(2_000);
-        assert_eq!(core.patch(6), Some(Answer::Taken));
+        assert_eq!(core.patch(6), Some(Answer::Accepted));
         core.run(200);
         assert!(core.diverged().is_empty(), "seed {seed}");
         let now = core.leader().expect("one leads");
@@ -308,7 +311,7 @@
         assert!(core
             .events
             .iter()
-            .any(|(node, event)| *node == odd && matches!(event, Event::Restated { .. })));
+            .any(|(node, event)| *node == odd && matches!(event, Event::StateTransferred { .. })));
     }
 }
 
@@ -317,12 +320,12 @@
 fn where_the_others_came_apart_from_the_leader_they_take_its_state() {
     let seed = (0..20).find(|seed| Core::new(*seed, Some(0)).leader() == Some(0)).expect("a seed");
     let mut core = Core::new(seed, Some(0));
-    assert_eq!(core.patch(1), Some(Answer::Taken));
+    assert_eq!(core.patch(1), Some(Answer::Accepted));
     core.run(200);
     assert_eq!(core.diverged(), [1, 2]);
     core.follow(1);
     core.follow(2);
-    assert_eq!(core.patch(2), Some(Answer::Taken));
+    assert_eq!(core.patch(2), Some(Answer::Accepted));
     core.run(200);
     assert!(core.diverged().is_empty());
     for node in 1..MEMBERS {
@@ -337,7 +340,7 @@
     let odd = (0..MEMBERS).find(|odd| Core::new(1, Some(*odd)).leader() != Some(*odd)).expect("a follower");
     let mut core = Core::new(1, Some(odd));
     for number in 0..70 {
-        assert_eq!(core.patch(number % 10), Some(Answer::Taken));
+        assert_eq!(core.patch(number % 10), Some(Answer::Accepted));
     }
     core.run(200);
     let leader = core.leader().expect("one leads");
@@ -345,8 +348,8 @@
     assert_eq!((core.snapshots[odd], core.snapshots[leader] > 9), (0, true), "snapshots written");
     // Late: two more changes come before the answer.
     let answer = core.ask(odd).expect("an answer");
-    assert_eq!(core.patch(1), Some(Answer::Taken));
-    core.at(leader, |house, now| house.zone(now, "z1".into(), false));
+    assert_eq!(core.patch(1), Some(Answer::Accepted));
+    core.at(leader, |house, now| house.change_evacuation(now, "z1".into(), false));
     core.run(200);
     core.learn(odd, answer);
     assert!(core.diverged().is_empty());
@@ -354,10 +357,10 @@
 
     // Early: the answer tells of changes that have not come here.
     let mut core = Core::new(1, Some(odd));
-    assert_eq!(core.patch(1), Some(Answer::Taken));
+    assert_eq!(core.patch(1), Some(Answer::Accepted));
     core.run(200);
     core.cut.insert(odd);
-    assert_eq!(core.patch(2), Some(Answer::Taken));
+    assert_eq!(core.patch(2), Some(Answer::Accepted));
     core.run(200);
     let answer = core.ask(odd).expect("an answer");
     core.learn(odd, answer);
--- a/crates/replica/tests/members.rs
+++ b/crates/replica/tests/membership.rs
@@ -3,7 +3,7 @@
 
 use nickeljunction_consensus::{bootstrap_member_id, member_id_from_random, Envelope, Restored, Tuning};
 use nickeljunction_messages::Member;
-use nickeljunction_replica::{Answer, Place, Replica, Ticket, Unfit, Wish};
+use nickeljunction_replica::{Answer, MemberConfig, MembershipError, MembershipRequest, Replica, Ticket};
 use nickeljunction_schema::Bounds;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 
 impl Core {
     fn start(&mut self, number: u8, restored: Restored) {
-        let place = Rc::new(Place {
+        let place = Rc::new(MemberConfig {
             name: format!("core-{number}"),
             host: host(number),
             zones: BTreeMap::new(),
@@ -31,7 +31,7 @@
             heartbeat_ms: 1_500,
         });
         let mut house = Replica::new(place, restored, Tuning::default(), number.into(), self.now);
-        house.seek(self.now, &[host(1), host(2), host(3)]);
+        house.add_seed_hosts(self.now, &[host(1), host(2), host(3)]);
         self.houses.insert(host(number), house);
     }
 
@@ -44,7 +44,7 @@
             self.mail = later;
             for (_, to, envelope) in due {
                 if let Some(house) = self.houses.get_mut(&to) {
-                    house.heard(now, vec![envelope]);
+                    house.receive(now, vec![envelope]);
                 }
             }
             for (at, house) in &mut self.houses {
@@ -52,7 +52,7 @@
                     house.tick(now);
                 }
                 loop {
-                    let effects = house.take();
+                    let effects = house.take_effects();
                     let sent = effects.send.into_iter().map(|(to, envelope)| (now + WAY_MS, to, envelope));
                     self.mail.extend(sent);
                     let told = effects.answers.into_iter();
@@ -67,14 +67,14 @@
     }
 
     fn leader(&self) -> String {
-        let leads = self.houses.iter().filter(|(_, house)| house.leads().is_some());
-        leads.max_by_key(|(_, house)| house.book().term()).expect("somebody leads").0.clone()
+        let leads = self.houses.iter().filter(|(_, house)| house.leader_state().is_some());
+        leads.max_by_key(|(_, house)| house.consensus().term()).expect("somebody leads").0.clone()
     }
 
     /// Gives an order to whoever leads and waits for its answer.
-    fn order(&mut self, wish: Wish) -> Answer {
+    fn order(&mut self, wish: MembershipRequest) -> Answer {
         let leader = self.leader();
-        let ticket = self.houses.get_mut(&leader).expect("it leads").order(self.now, wish);
+        let ticket = self.houses.get_mut(&leader).expect("it leads").change_membership(self.now, wish);
         self.run(100);
         let given = self.answers.iter().rev().find(|(at, of, _)| *at == leader && *of == ticket);
         given.expect("an answer within 100 ms").2.clone()
@@ -82,7 +82,7 @@
 
     fn members(&self) -> Vec<String> {
         let view = self.houses[&self.leader()].core_view(self.now);
-        assert_eq!(view.open, None, "{view:?}");
+        assert_eq!(view.open_order, None, "{view:?}");
         let mut hosts: Vec<String> = view.machines.into_iter().map(|berth| berth.host).collect();
         hosts.sort();
         hosts
@@ -99,13 +99,13 @@
     }
     core.run(2_000);
     let old = core.leader();
-    let swap = Wish::Come(host(4), Some(old.clone()));
-    assert_eq!(core.order(swap.clone()), Answer::Taken);
-    assert_eq!(core.order(swap.clone()), Answer::Taken, "the same again");
-    let second = core.order(Wish::Come(host(5), None));
-    assert!(matches!(second, Answer::Unfit(Unfit::Busy(_))), "{second:?}");
+    let swap = MembershipRequest::Add(host(4), Some(old.clone()));
+    assert_eq!(core.order(swap.clone()), Answer::Accepted);
+    assert_eq!(core.order(swap.clone()), Answer::Accepted, "the same again");
+    let second = core.order(MembershipRequest::Add(host(5), None));
+    assert!(matches!(second, Answer::MembershipRefused(MembershipError::InProgress(_))), "{second:?}");
     let view = core.houses[&old].core_view(core.now);
-    assert!(view.machines.iter().any(|berth| berth.host == host(4) && berth.part == "awaited"), "{view:?}");
+    assert!(view.machines.iter().any(|berth| berth.host == host(4) && berth.role == "awaited"), "{view:?}");
     // The machine starts: it comes, the old leader goes and stays away though it asks.
     core.start(4, Restored::joining(Member { id: member_id_from_random(77), host: host(4) }));
     core.run(3_000);
@@ -113,12 +113,15 @@
     assert_eq!(core.members(), left);
     core.run(8_000);
     assert_eq!(core.members(), left);
-    assert_eq!(core.order(swap), Answer::Taken, "it is so");
-    assert_eq!(core.order(Wish::Go(host(4))), Answer::Unfit(Unfit::Few(2)));
-    let unknown = core.order(Wish::Go(host(9)));
-    assert!(matches!(unknown, Answer::Unfit(Unfit::Unknown(..))), "{unknown:?}");
+    assert_eq!(core.order(swap), Answer::Accepted, "it is so");
+    assert_eq!(
+        core.order(MembershipRequest::Remove(host(4))),
+        Answer::MembershipRefused(MembershipError::TooFewMembers(2))
+    );
+    let unknown = core.order(MembershipRequest::Remove(host(9)));
+    assert!(matches!(unknown, Answer::MembershipRefused(MembershipError::UnknownMember(..))), "{unknown:?}");
     // Called back, it is one of four.
-    assert_eq!(core.order(Wish::Come(old, None)), Answer::Taken);
+    assert_eq!(core.order(MembershipRequest::Add(old, None)), Answer::Accepted);
     core.run(2_000);
     assert_eq!(core.members(), (1..=4).map(host).collect::<Vec<_>>());
 }
--- a/crates/replica/tests/member.rs
+++ b/crates/replica/tests/replica.rs
@@ -7,7 +7,7 @@
 };
 use nickeljunction_registry::{Heartbeat, WatchCache};
 use nickeljunction_replica::departures::Departure;
-use nickeljunction_replica::{Answer, Change, Held, Lent, Place, Replica, Ticket};
+use nickeljunction_replica::{Answer, Change, HeldWatch, MemberConfig, Replica, Ticket, UnitsReply};
 use nickeljunction_schema::Bounds;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -40,7 +40,7 @@
         let member = |node| Member { id: bootstrap_member_id(&host(node)), host: host(node) };
         let now = 1_000;
         let house = |node| {
-            let place = Place {
+            let place = MemberConfig {
                 name: format!("core-{node}"),
                 host: host(node),
                 zones: BTreeMap::from([("z1".into(), "r1".into())]),
@@ -59,14 +59,15 @@
         let leader = core.leader();
         let put = core.change(leader, 0, 1);
         core.run(50);
-        assert_eq!(core.answers.remove(&put), Some(Answer::Taken));
+        assert_eq!(core.answers.remove(&put), Some(Answer::Accepted));
         core
     }
 
     /// The one that surely leads.
     fn leader(&self) -> usize {
         let sure = |house: &Replica| {
-            house.leads().is_some() && house.book().quorum_age(self.now).is_some_and(|age| age < 350)
+            house.leader_state().is_some()
+                && house.consensus().quorum_age(self.now).is_some_and(|age| age < 350)
         };
         let leaders: Vec<usize> = (0..3).filter(|node| sure(&self.houses[*node])).collect();
         assert_eq!(leaders.len(), 1, "leaders {leaders:?}");
@@ -79,7 +80,7 @@
         let mut mail: VecDeque<(usize, usize, Envelope)> = VecDeque::new();
         let mut busy = vec![node];
         while let Some(node) = busy.pop() {
-            let effects = self.houses[node].take();
+            let effects = self.houses[node].take_effects();
             for write in &effects.writes {
                 if self.hangs.contains(&node) {
                     self.unwritten.push((node, write.ticket));
@@ -100,7 +101,7 @@
             if busy.is_empty() {
                 while let Some((from, to, envelope)) = mail.pop_front() {
                     if !self.cut.contains(&from) && !self.cut.contains(&to) {
-                        self.houses[to].heard(self.now, vec![envelope]);
+                        self.houses[to].receive(self.now, vec![envelope]);
                         busy.push(to);
                         break;
                     }
@@ -139,7 +140,7 @@
 
     fn send(&mut self, node: usize, patch: bool, base: Option<u64>, body: &serde_json::Value) -> Ticket {
         let body = serde_json::to_vec(body).unwrap().into();
-        self.at(node, |house, now| house.change(now, Change { patch, base, body }))
+        self.at(node, |house, now| house.change_config(now, Change { patch, base, body }))
     }
 
     fn answered(&mut self, ticket: Ticket) -> Option<Answer> {
@@ -189,7 +190,7 @@
 }
 
 fn units(to: &Replica, life: u64, seq: u64) -> UnitsCall {
-    let to = to.book().term();
+    let to = to.consensus().term();
     let want = TenantUnits { requested: 10, ..TenantUnits::default() };
     let tenants = BTreeMap::from([("peach".into(), want)]);
     UnitsCall {
@@ -212,20 +213,20 @@
 fn a_leader_that_loses_its_majority_and_comes_back_keeps_its_registers() {
     let mut core = Core::new(3);
     let leader = core.leader();
-    assert_eq!(core.at(leader, |house, now| house.beat(now, "i-1", &beat())), Ok(None));
-    core.at(leader, |house, now| house.called(now, &watch(7))).expect("it leads");
-    let term = core.houses[leader].book().term();
+    assert_eq!(core.at(leader, |house, now| house.record_heartbeat(now, "i-1", &beat())), Ok(None));
+    core.at(leader, |house, now| house.begin_watch(now, &watch(7))).expect("it leads");
+    let term = core.houses[leader].consensus().term();
     // The others stand still and have copied nothing; only this one can stand for election.
     core.still = (0..3).filter(|node| *node != leader).collect();
     core.cut.insert(leader);
     core.run(1_200);
-    assert!(core.houses[leader].leads().is_none(), "its majority is away");
-    assert!(core.at(leader, |house, now| house.beat(now, "i-1", &beat())).is_err());
+    assert!(core.houses[leader].leader_state().is_none(), "its majority is away");
+    assert!(core.at(leader, |house, now| house.record_heartbeat(now, "i-1", &beat())).is_err());
     core.cut.clear();
     core.run(1_500);
     assert_eq!(core.leader(), leader);
-    assert!(core.houses[leader].book().term() > term);
-    let (register, _) = core.houses[leader].leads().expect("it leads again");
+    assert!(core.houses[leader].consensus().term() > term);
+    let (register, _) = core.houses[leader].leader_state().expect("it leads again");
     assert_eq!((register.server_count(), register.roster().len()), (1, 1));
 }
 
@@ -233,21 +234,21 @@
 fn nobody_is_answered_by_a_leader_whose_majority_was_not_heard_within_the_lease() {
     let mut core = Core::new(5);
     let leader = core.leader();
-    let held: Held = core.at(leader, |house, now| house.called(now, &watch(7))).expect("it leads");
-    let round = core.at(leader, |house, now| house.gone(now, "i-1")).expect("it leads");
+    let held: HeldWatch = core.at(leader, |house, now| house.begin_watch(now, &watch(7))).expect("it leads");
+    let round = core.at(leader, |house, now| house.remove_server(now, "i-1")).expect("it leads");
     core.at(leader, |house, now| house.claim(now, &claim(1, 1))).expect("it leads");
     core.cut.insert(leader);
     core.still.insert(leader);
     core.run(Tuning::default().election_min_ms + 100);
     // It was frozen, and asked before its own clock: it still takes itself for the leader.
     let (now, house) = (core.now, &mut core.houses[leader]);
-    assert!(house.leads().is_some());
-    assert!(house.watch(now, &watch(7), &held).is_err());
-    assert!(house.units(now, &units(house, 7, 1)).is_err());
-    assert!(house.ebb(now, &PaceSharesCall::default()).is_err());
+    assert!(house.leader_state().is_some());
+    assert!(house.answer_watch(now, &watch(7), &held).is_err());
+    assert!(house.request_units(now, &units(house, 7, 1)).is_err());
+    assert!(house.request_pace_shares(now, &PaceSharesCall::default()).is_err());
     assert!(house.claim(now, &claim(1, 2)).is_err(), "nor told that another claim holds");
-    assert!(house.beat(now, "i-2", &beat()).is_err());
-    assert!(house.come_round(now, &round).is_err(), "not even for want of time");
+    assert!(house.record_heartbeat(now, "i-2", &beat()).is_err());
+    assert!(house.ack_ready(now, &round).is_err(), "not even for want of time");
 }
 
 #[test]
@@ -256,21 +257,21 @@
         let mut core = Core::new(21);
         let leader = core.leader();
         let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
-        assert_eq!(core.at(leader, |house, now| house.beat(now, "i-1", &beat())), Ok(None));
+        assert_eq!(core.at(leader, |house, now| house.record_heartbeat(now, "i-1", &beat())), Ok(None));
         // They hear of it, but their disks don't have it.
         core.hangs.extend(others.iter().copied());
         let round = core.at(leader, |house, now| match ends {
-            true => house.gone(now, "i-1"),
+            true => house.remove_server(now, "i-1"),
             false => {
                 let draining = Heartbeat { state: ServerState::Draining, call_seq: 2, ..beat() };
-                house.beat(now, "i-1", &draining).map(|round| round.expect("a drain"))
+                house.record_heartbeat(now, "i-1", &draining).map(|round| round.expect("a drain"))
             }
         });
         let round = round.expect("it leads");
         let (begun, mut refused) = (core.now, None);
         while refused.is_none() && core.now < begun + 2_000 {
             core.run(10);
-            match core.at(leader, |house, now| house.come_round(now, &round)) {
+            match core.at(leader, |house, now| house.ack_ready(now, &round)) {
                 Ok(over) => {
                     assert!(!over, "acknowledged after {} ms, known to nobody else", core.now - begun)
                 }
@@ -280,10 +281,10 @@
         assert_eq!(refused, Some((700, None)), "a server goes on after a second");
         // One other member of three that has it on its disk is enough.
         core.recover(others[0]);
-        assert_eq!(core.at(leader, |house, now| house.come_round(now, &round)), Ok(true));
+        assert_eq!(core.at(leader, |house, now| house.ack_ready(now, &round)), Ok(true));
         let departures = core.houses[leader].state().departures().clone();
         let expected = if ends { Departure::Ended } else { Departure::Draining { call_seq: 2 } };
-        assert_eq!(departures.of("i-1"), Some(expected));
+        assert_eq!(departures.get("i-1"), Some(expected));
     }
 }
 
@@ -294,8 +295,8 @@
     let leader = core.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     core.hangs.extend(others.iter().copied());
-    let round = core.at(leader, |house, now| house.gone(now, "i-1")).expect("it leads");
-    let term = core.houses[leader].book().term();
+    let round = core.at(leader, |house, now| house.remove_server(now, "i-1")).expect("it leads");
+    let term = core.houses[leader].consensus().term();
     core.cut.insert(leader);
     core.still = others.iter().copied().collect();
     core.run(1_200);
@@ -303,8 +304,8 @@
     others.iter().for_each(|node| core.recover(*node));
     core.run(1_500);
     assert_eq!(core.leader(), leader);
-    assert!(core.houses[leader].book().term() > term);
-    assert!(core.at(leader, |house, now| house.come_round(now, &round)).is_err());
+    assert!(core.houses[leader].consensus().term() > term);
+    assert!(core.at(leader, |house, now| house.ack_ready(now, &round)).is_err());
 }
 
 #[test]
@@ -313,19 +314,19 @@
     let leader = core.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     core.hangs.extend(others.iter().copied());
-    let commit = core.houses[leader].book().commit();
+    let commit = core.houses[leader].consensus().commit();
     let rounds: Vec<_> = (0..50)
         .map(|number| {
             let id = format!("i-{number}");
-            core.at(leader, |house, now| house.gone(now, &id)).expect("it leads")
+            core.at(leader, |house, now| house.remove_server(now, &id)).expect("it leads")
         })
         .collect();
     others.iter().for_each(|node| core.recover(*node));
     core.run(300);
     for round in &rounds {
-        assert_eq!(core.at(leader, |house, now| house.come_round(now, round)), Ok(true));
+        assert_eq!(core.at(leader, |house, now| house.ack_ready(now, round)), Ok(true));
     }
-    assert_eq!(core.houses[leader].book().commit(), commit + 2, "one for the first, one for all others");
+    assert_eq!(core.houses[leader].consensus().commit(), commit + 2, "one for the first, one for all others");
     assert_eq!(core.houses[leader].state().departures().ended().len(), 50);
 }
 
@@ -335,16 +336,16 @@
     let leader = core.leader();
     let say = |state, call_seq| Heartbeat { state, call_seq, ..beat() };
     let draining = say(ServerState::Draining, 2);
-    core.at(leader, |house, now| house.beat(now, "i-1", &draining)).expect("it leads");
+    core.at(leader, |house, now| house.record_heartbeat(now, "i-1", &draining)).expect("it leads");
     core.run(10);
     assert_eq!(core.houses[leader].state().departures().len(), 1);
     // A beat of before, which was long on its way.
     let late = say(ServerState::InService, 1);
-    core.at(leader, |house, now| house.beat(now, "i-1", &late)).expect("it leads");
+    core.at(leader, |house, now| house.record_heartbeat(now, "i-1", &late)).expect("it leads");
     core.run(10);
     assert_eq!(core.houses[leader].state().departures().len(), 1);
     let back = say(ServerState::InService, 3);
-    core.at(leader, |house, now| house.beat(now, "i-1", &back)).expect("it leads");
+    core.at(leader, |house, now| house.record_heartbeat(now, "i-1", &back)).expect("it leads");
     core.run(10);
     assert!(core.houses[leader].state().departures().is_empty());
 }
@@ -354,20 +355,20 @@
     let mut core = Core::new(9);
     let leader = core.leader();
     let there = |core: &Core| core.houses[leader].roster().iter().any(|line| line.ready);
-    let held = core.at(leader, |house, now| house.called(now, &watch(7))).expect("it leads");
+    let held = core.at(leader, |house, now| house.begin_watch(now, &watch(7))).expect("it leads");
     // One that is dropped, one that is answered, one that a leader out of touch sends away: beside the one held.
     let beside = WatchCall { wait_ms: 0, ..watch(7) };
-    let dropped = core.at(leader, |house, now| house.called(now, &beside)).expect("it leads");
-    let answered = core.at(leader, |house, now| house.called(now, &beside)).expect("it leads");
-    let refused = core.at(leader, |house, now| house.called(now, &beside)).expect("it leads");
-    core.at(leader, |house, now| house.hung_up(now, &beside, &dropped));
+    let dropped = core.at(leader, |house, now| house.begin_watch(now, &beside)).expect("it leads");
+    let answered = core.at(leader, |house, now| house.begin_watch(now, &beside)).expect("it leads");
+    let refused = core.at(leader, |house, now| house.begin_watch(now, &beside)).expect("it leads");
+    core.at(leader, |house, now| house.watch_disconnected(now, &beside, &dropped));
     assert!(there(&core), "another call is held");
-    assert!(matches!(core.at(leader, |house, now| house.watch(now, &beside, &answered)), Ok(Some(_))));
+    assert!(matches!(core.at(leader, |house, now| house.answer_watch(now, &beside, &answered)), Ok(Some(_))));
     let late = core.now + Tuning::default().election_min_ms;
-    assert!(core.houses[leader].watch(late, &beside, &refused).is_err(), "past its lease");
+    assert!(core.houses[leader].answer_watch(late, &beside, &refused).is_err(), "past its lease");
     core.run(100);
     assert!(there(&core));
-    core.at(leader, |house, now| house.hung_up(now, &watch(7), &held));
+    core.at(leader, |house, now| house.watch_disconnected(now, &watch(7), &held));
     assert!(!there(&core), "none is left");
 }
 
@@ -386,17 +387,22 @@
         let line = GatewayInfo { ready, ..watch(7).gateway.expect("a line") };
         WatchCall { gateway: Some(line), ..watch(7) }
     };
-    core.at(leader, |house, now| house.called(now, &other(true))).expect("it leads");
+    core.at(leader, |house, now| house.begin_watch(now, &other(true))).expect("it leads");
     // How long a call is held whose sender has all there is, while something changes.
     let mut held_ms = |core: &mut Core, change: &dyn Fn(&mut Replica, u64)| {
-        let first = core.at(leader, |house, now| house.called(now, &WatchCall { wait_ms: 0, ..ask(&copy) }));
+        let first =
+            core.at(leader, |house, now| house.begin_watch(now, &WatchCall { wait_ms: 0, ..ask(&copy) }));
         let first = first.expect("it leads");
-        let told = core.at(leader, |house, now| house.watch(now, &ask(&copy), &first)).expect("it leads");
+        let told =
+            core.at(leader, |house, now| house.answer_watch(now, &ask(&copy), &first)).expect("it leads");
         told.map(|answer| copy.apply(answer).expect("it fits"));
-        let held = core.at(leader, |house, now| house.called(now, &ask(&copy))).expect("it leads");
+        let held = core.at(leader, |house, now| house.begin_watch(now, &ask(&copy))).expect("it leads");
         core.at(leader, change);
         let began = core.now;
-        while core.at(leader, |house, now| house.watch(now, &ask(&copy), &held)).expect("it leads").is_none()
+        while core
+            .at(leader, |house, now| house.answer_watch(now, &ask(&copy), &held))
+            .expect("it leads")
+            .is_none()
         {
             core.run(1);
         }
@@ -404,15 +410,15 @@
     };
     let say = |state, call_seq| Heartbeat { state, call_seq, ..beat() };
     let arrival = held_ms(&mut core, &|house, now| {
-        let _ = house.beat(now, "i-1", &say(ServerState::InService, 1));
+        let _ = house.record_heartbeat(now, "i-1", &say(ServerState::InService, 1));
     });
     assert!((100..1_000).contains(&arrival), "{arrival} ms");
     let drain = held_ms(&mut core, &|house, now| {
-        let _ = house.beat(now, "i-1", &say(ServerState::Draining, 2));
+        let _ = house.record_heartbeat(now, "i-1", &say(ServerState::Draining, 2));
     });
     assert_eq!(drain, 0);
     let leaves = held_ms(&mut core, &|house, now| {
-        let _ = house.called(now, &other(false));
+        let _ = house.begin_watch(now, &other(false));
     });
     assert_eq!(leaves, 0);
 }
@@ -422,7 +428,7 @@
     let leader = core.leader();
     for life in [1, 2] {
         let call = WatchCall { name: format!("edge-{life}"), ..watch(life) };
-        core.at(leader, |house, now| house.called(now, &call)).expect("it leads");
+        core.at(leader, |house, now| house.begin_watch(now, &call)).expect("it leads");
     }
     let mut ask = |life: u64, demand: f64| {
         let demand = BTreeMap::from([("peach".to_string(), demand)]);
@@ -433,11 +439,11 @@
             demand,
             ..PaceSharesCall::default()
         };
-        let answer = core.at(leader, |house, now| house.ebb(now, &call)).expect("it leads");
+        let answer = core.at(leader, |house, now| house.request_pace_shares(now, &call)).expect("it leads");
         answer.shares.get("peach").copied()
     };
     let shares = [ask(1, 30.0), ask(2, 60.0)].into_iter().flatten().collect();
-    (shares, core.houses[leader].trials(core.now)["peach"].pace)
+    (shares, core.houses[leader].trial_views(core.now)["peach"].pace)
 }
 
 #[test]
@@ -450,11 +456,11 @@
     core.send(leader, false, Some(1), &doc);
     core.run(50);
     assert_eq!(shares(&mut core, 1), (vec![], None));
-    let [gone, ticket] =
-        ["plum", "peach"].map(|tenant| core.at(leader, |house, now| house.trial(now, tenant.into(), true)));
+    let [gone, ticket] = ["plum", "peach"]
+        .map(|tenant| core.at(leader, |house, now| house.change_trial(now, tenant.into(), true)));
     core.run(50);
-    assert!(matches!(core.answered(gone), Some(Answer::Missing(wants)) if wants.contains("plum")));
-    assert_eq!(core.answered(ticket), Some(Answer::Taken));
+    assert!(matches!(core.answered(gone), Some(Answer::NotFound(wants)) if wants.contains("plum")));
+    assert_eq!(core.answered(ticket), Some(Answer::Accepted));
     core.run(2_100);
     assert_eq!(shares(&mut core, 2), (vec![], Some(90.0)), "it hasn't heard of all yet");
     let all: f64 = (3..20)
@@ -471,7 +477,7 @@
     assert_ne!(core.leader(), leader);
     assert_eq!(shares(&mut core, 21).0, [0.0; 0], "the next one has heard nobody yet");
     let next = core.leader();
-    let view = core.houses[next].trials(core.now)["peach"].clone();
+    let view = core.houses[next].trial_views(core.now)["peach"].clone();
     assert!(view.stage == 2 && view.next_in_s.is_some_and(|next| next > 56.0), "counted anew: {view:?}");
 }
 
@@ -480,18 +486,20 @@
     let mut core = Core::new(7);
     let old = core.leader();
     core.cut.insert(old);
-    let Ok(Lent::Later(ticket)) = core.at(old, |house, now| house.units(now, &units(house, 9, 1))) else {
+    let Ok(UnitsReply::Pending(ticket)) =
+        core.at(old, |house, now| house.request_units(now, &units(house, 9, 1)))
+    else {
         panic!("lent before it is on the log");
     };
     core.run(249);
     let lent = |core: &Core, node: usize| {
-        let (_, counter) = core.houses[node].leads().expect("it leads");
+        let (_, counter) = core.houses[node].leader_state().expect("it leads");
         counter.usage_by_tenant(core.now)["peach"].lent
     };
     assert_eq!((core.answered(ticket), lent(&core, old)), (None, 0));
     core.run(1);
     let answer = core.answered(ticket);
-    assert!(matches!(answer, Some(Answer::Elsewhere(_))), "before the gateway's own time-out: {answer:?}");
+    assert!(matches!(answer, Some(Answer::NotLeader(_))), "before the gateway's own time-out: {answer:?}");
     core.run(2_000);
     let next = core.leader();
     assert_ne!(next, old);
@@ -501,7 +509,9 @@
     assert_eq!(lent(&core, next), 0);
 
     // The same where nothing is lost.
-    let Ok(Lent::Later(ticket)) = core.at(next, |house, now| house.units(now, &units(house, 9, 2))) else {
+    let Ok(UnitsReply::Pending(ticket)) =
+        core.at(next, |house, now| house.request_units(now, &units(house, 9, 2)))
+    else {
         panic!("lent before it is on the log");
     };
     let Some(Answer::Units(answer)) = core.answered(ticket) else { panic!("no answer") };
@@ -509,7 +519,10 @@
     assert!(lent(&core, next) > 0);
     core.run(200);
     assert!(core.houses.iter().all(|house| house.state().gateways().contains_key(&9)));
-    assert!(matches!(core.at(next, |house, now| house.units(now, &units(house, 9, 3))), Ok(Lent::Now(_))));
+    assert!(matches!(
+        core.at(next, |house, now| house.request_units(now, &units(house, 9, 3))),
+        Ok(UnitsReply::Immediate(_))
+    ));
 }
 
 #[test]
@@ -520,14 +533,14 @@
     let lost = core.change(old, 1, 2);
     assert!(core.cut.contains(&old), "its entry was to go out");
     assert_eq!(core.answered(lost), None);
-    let index = core.houses[old].book().commit() + 1;
+    let index = core.houses[old].consensus().commit() + 1;
     core.mute = None;
     core.run(2_000);
     assert_eq!(core.answered(lost), Some(Answer::Unknown));
     let next = core.leader();
-    assert!(core.houses[next].book().commit() >= index, "another entry is in its place");
+    assert!(core.houses[next].consensus().commit() >= index, "another entry is in its place");
     let other = core.change(next, 1, 3);
-    assert_eq!(core.answered(other), Some(Answer::Taken));
+    assert_eq!(core.answered(other), Some(Answer::Accepted));
     core.cut.clear();
     core.run(1_000);
     let again = core.change(next, 1, 2);
@@ -542,7 +555,7 @@
     let follower = (leader + 1) % 3;
     let patch = serde_json::json!({"config_version": 2, "tenants": {"peach": {"rate_per_s": 50}}});
     let wants = |answer: Option<Answer>| match answer {
-        Some(Answer::Wrong(wants)) => wants,
+        Some(Answer::Invalid(wants)) => wants,
         other => panic!("{other:?}"),
     };
     let mut ask = |node, patch, base, body: &serde_json::Value| {
@@ -550,13 +563,13 @@
         core.answered(ticket)
     };
     assert!(
-        matches!(ask(follower, true, Some(1), &patch), Some(Answer::Elsewhere(to)) if to.leader.is_some())
+        matches!(ask(follower, true, Some(1), &patch), Some(Answer::NotLeader(to)) if to.leader.is_some())
     );
     assert!(wants(ask(leader, true, None, &patch)).contains("If-Match"));
     assert!(wants(ask(leader, false, Some(1), &document(1))).contains("config_version"));
     assert_eq!(ask(leader, true, Some(4), &patch), Some(Answer::Conflict(Some(1))));
-    assert_eq!(ask(leader, true, Some(1), &patch), Some(Answer::Taken));
-    assert_eq!(ask(leader, true, Some(1), &patch), Some(Answer::Taken), "the very same call");
+    assert_eq!(ask(leader, true, Some(1), &patch), Some(Answer::Accepted));
+    assert_eq!(ask(leader, true, Some(1), &patch), Some(Answer::Accepted), "the very same call");
     assert_eq!(ask(leader, false, Some(1), &document(3)), Some(Answer::Conflict(Some(2))));
 }
 
@@ -568,7 +581,7 @@
 /// A gateway's one watch call.
 enum Under {
     Way(u64, WatchCall),
-    Hold(WatchCall, Held),
+    Hold(WatchCall, HeldWatch),
     WayBack(u64, WatchAnswer),
 }
 
@@ -598,7 +611,7 @@
         let now = core.now;
         match &self.under {
             Under::Way(at, call) if now >= *at => {
-                let held = core.at(leader, |house, now| house.called(now, call)).expect("it leads");
+                let held = core.at(leader, |house, now| house.begin_watch(now, call)).expect("it leads");
                 self.under = Under::Hold(call.clone(), held);
             }
             Under::WayBack(at, answer) if now >= *at => {
@@ -610,7 +623,7 @@
             _ => {}
         }
         if let Under::Hold(call, held) = &self.under {
-            let answer = core.at(leader, |house, now| house.watch(now, call, held)).expect("it leads");
+            let answer = core.at(leader, |house, now| house.answer_watch(now, call, held)).expect("it leads");
             self.under = match answer {
                 Some(answer) => Under::WayBack(now + WAY_MS, answer),
                 None => return,
@@ -635,7 +648,7 @@
                 let address = format!("10.1.{}.{}:8261", server / 250, server % 250);
                 let beat = Heartbeat { address, call_seq: core.now, ..beat() };
                 let id = format!("i-{server:010x}");
-                core.at(leader, |house, now| house.beat(now, &id, &beat)).expect("it leads");
+                core.at(leader, |house, now| house.record_heartbeat(now, &id, &beat)).expect("it leads");
             }
         }
         gateways.iter_mut().for_each(|gateway| gateway.turn(&mut core, leader));
--- a/crates/replica/tests/alone/mod.rs
+++ b/crates/replica/tests/single_member/mod.rs
@@ -7,23 +7,23 @@
     bootstrap_member_id, Body, Entry as Logged, HardState, Restored, Snapshot, Tuning,
 };
 use nickeljunction_messages::Member;
-use nickeljunction_replica::{Answer, Change, Place, Replica};
+use nickeljunction_replica::{Answer, Change, MemberConfig, Replica};
 use nickeljunction_schema::Bounds;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// A core of one member, which leads; its disk writes at once.
-pub struct Alone {
+pub struct SingleMember {
     pub replica: Replica,
     pub now: u64,
     /// Writes of which nothing was said yet.
     pub writing: Vec<u64>,
 }
 
-impl Alone {
+impl SingleMember {
     /// From a snapshot of its state, and entries after it.
-    pub fn new(state: &str, entries: &[String]) -> Alone {
+    pub fn new(state: &str, entries: &[String]) -> SingleMember {
         let me = Member { id: bootstrap_member_id("10.0.0.1"), host: "10.0.0.1".into() };
         let snapshot = Snapshot { index: 1, term: 1, members: vec![me.clone()], state: state.into() };
         let logged = |(at, data): (usize, &String)| Logged {
@@ -34,7 +34,7 @@
         let entries = entries.iter().enumerate().map(logged).collect();
         let hard = HardState { term: 1, ..HardState::default() };
         let restored = Restored { me, is_new: false, hard, snapshot: Some(snapshot), entries };
-        let place = Place {
+        let place = MemberConfig {
             name: "core-1".into(),
             host: "10.0.0.1".into(),
             zones: BTreeMap::new(),
@@ -42,8 +42,8 @@
             heartbeat_ms: 1_000,
         };
         let replica = Replica::new(Rc::new(place), restored, Tuning::default(), 1, 0);
-        let mut alone = Alone { replica, now: 0, writing: Vec::new() };
-        while alone.replica.leads().is_none() {
+        let mut alone = SingleMember { replica, now: 0, writing: Vec::new() };
+        while alone.replica.leader_state().is_none() {
             alone.now += 1;
             alone.replica.tick(alone.now);
             alone.write();
@@ -53,7 +53,7 @@
 
     /// Carries out what the machine wants; its answers. What it wants to be written is said to be written by `write`.
     pub fn carry_out(&mut self) -> Vec<Answer> {
-        let effects = self.replica.take();
+        let effects = self.replica.take_effects();
         self.writing.extend(effects.writes.iter().map(|write| write.ticket));
         effects.answers.into_iter().map(|(_, answer)| answer).collect()
     }
@@ -73,7 +73,7 @@
     /// An operator's change, not waited for.
     pub fn begin(&mut self, patch: bool, base: u64, body: &Value) {
         let body = body.to_string().into();
-        self.replica.change(self.now, Change { patch, base: Some(base), body });
+        self.replica.change_config(self.now, Change { patch, base: Some(base), body });
     }
 
     /// An operator's change, and its answer.
--- a/crates/simulation/src/audit.rs
+++ b/crates/simulation/src/audit.rs
@@ -3,8 +3,8 @@
 use crate::{Answer, Fact, Node, Question};
 use nickeljunction_messages::ServerState;
 use nickeljunction_replica::departures::Departure;
-use nickeljunction_replica::state::{CoreOrder, Entry, Outcome, ReplicatedState, Trial};
-use nickeljunction_replica::Wish;
+use nickeljunction_replica::state::{Entry, MembershipOrder, Outcome, ReplicatedState, Trial};
+use nickeljunction_replica::MembershipRequest;
 use nickeljunction_schema::Bounds;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -79,7 +79,7 @@
     /// Servers whose departure was acknowledged: `true` where they ended.
     pub departed: BTreeMap<String, bool>,
     /// Orders on the core's members that were agreed on, oldest first.
-    pub orders: Vec<CoreOrder>,
+    pub orders: Vec<MembershipOrder>,
     /// How many of them were acknowledged, repeats included.
     pub ordered: usize,
     /// Newest version acknowledged or read.
@@ -125,7 +125,7 @@
                             "seed {seed}, {now} ms: entry {}",
                             self.applied
                         );
-                        let (number, order) = self.state.core();
+                        let (number, order) = self.state.membership_order();
                         if number as usize > self.orders.len() {
                             self.orders.push(order.clone());
                         }
@@ -221,7 +221,7 @@
         match question {
             Question::Put(base, version, digest, _) | Question::Patch(base, version, digest, _) => {
                 assert!(
-                    self.state.knows(version, &digest),
+                    self.state.was_accepted(version, &digest),
                     "seed {seed}, {now} ms: {version} was acknowledged and isn't on the log"
                 );
                 if self.acked.iter().any(|acked| acked.digest == digest) {
@@ -243,15 +243,16 @@
             Question::Leave(id) => self.depart(now, id, true),
             Question::Beat(id, beat) if beat.state == ServerState::Draining => self.depart(now, id, false),
             Question::Core(wish) => {
-                let away =
-                    |order: &CoreOrder, host: &String| order.away.iter().any(|away| away.host == *host);
-                let says = |order: &CoreOrder| match &wish {
-                    Wish::Come(new, old) => {
+                let away = |order: &MembershipOrder, host: &String| {
+                    order.excluded.iter().any(|away| away.host == *host)
+                };
+                let says = |order: &MembershipOrder| match &wish {
+                    MembershipRequest::Add(new, old) => {
                         !away(order, new) && old.as_ref().is_none_or(|old| away(order, old))
                     }
-                    Wish::Go(host) => away(order, host),
+                    MembershipRequest::Remove(host) => away(order, host),
                 };
-                let none = CoreOrder::default();
+                let none = MembershipOrder::default();
                 let agreed = self.orders.iter().chain([&none]).any(says);
                 assert!(agreed, "seed {seed}, {now} ms: {wish:?} was acknowledged and isn't on the log");
                 self.ordered += 1;
@@ -281,7 +282,7 @@
     /// A server's departure was acknowledged: the log has it.
     fn depart(&mut self, now: u64, id: String, ended: bool) {
         let seed = self.seed;
-        let logged = self.state.departures().of(&id);
+        let logged = self.state.departures().get(&id);
         let fits = match logged {
             Some(Departure::Ended) => true,
             Some(Departure::Draining { .. }) => !ended,
@@ -302,7 +303,7 @@
         };
         let (seed, there) = (self.seed, self.state.version());
         assert!(
-            there != *base && !self.state.knows(*version, digest),
+            there != *base && !self.state.was_accepted(*version, digest),
             "seed {seed}, {now} ms: member {member} refuses {version} on {base}, with {there} in force"
         );
     }
@@ -332,7 +333,7 @@
         let seed = self.seed;
         assert_eq!(state, &self.state, "seed {seed}: member {member}'s state is another one");
         for acked in &self.acked {
-            let known = state.knows(acked.version, &acked.digest);
+            let known = state.was_accepted(acked.version, &acked.digest);
             assert!(known, "seed {seed}: {acked:?} is lost");
         }
         for zone in &self.evacuated {
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -8,7 +8,7 @@
 use nickeljunction_pacing::Throttle;
 use nickeljunction_quota::{Allowance, Spend};
 use nickeljunction_registry::{ApplyError, SendLimit, WatchCache};
-use nickeljunction_replica::limits;
+use nickeljunction_replica::quota_limits;
 use nickeljunction_schema::Bounds;
 use std::collections::BTreeMap;
 
@@ -219,7 +219,7 @@
             self.allowance.set_gateway_count(catalog.gateway_count);
         }
         if let Some(config) = catalog.config.as_ref().filter(|_| applied.config) {
-            self.allowance.set_limits(now, &limits(&config.document, &Bounds::usual()));
+            self.allowance.set_limits(now, &quota_limits(&config.document, &Bounds::usual()));
         }
         for line in applied.trials {
             let (tenant, step, stage) = (line.tenant, line.step, line.stage);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -24,7 +24,7 @@
 use nickeljunction_consensus::Envelope;
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, UnitsAnswer, UnitsCall, WatchAnswer, WatchCall};
 use nickeljunction_registry::Heartbeat;
-use nickeljunction_replica::Wish;
+use nickeljunction_replica::MembershipRequest;
 
 /// A machine's place in the world: core members first, then gateways, then the one of operators and servers.
 pub type Node = usize;
@@ -64,7 +64,7 @@
     /// An operator takes a zone back.
     Return(String),
     /// An operator orders who is to be a member of the core.
-    Core(Wish),
+    Core(MembershipRequest),
     /// An operator has a tenant's trial lapse, or else restores it; asked at this time.
     Trial(String, bool, u64),
     /// A server says that it lives.
--- a/crates/simulation/src/member.rs
+++ b/crates/simulation/src/member.rs
@@ -6,8 +6,8 @@
 use nickeljunction_registry::WatchCache;
 use nickeljunction_replica::state::ReplicatedState;
 use nickeljunction_replica::{
-    self as replica, follow, Change, Claimed, CoreView, Effects, Event, Held, Lent, Place, Replica, Round,
-    Ticket,
+    self as replica, follower, Change, ClaimReply, CoreView, Effects, Event, HeldWatch, MemberConfig,
+    PendingAck, Replica, Ticket, UnitsReply,
 };
 use nickeljunction_schema::Bounds;
 use nickeljunction_storage::{LogStore, MemoryLogStore};
@@ -41,14 +41,14 @@
     from: Node,
     call: u64,
     watch: WatchCall,
-    held: Held,
+    held: HeldWatch,
     look_at: u64,
 }
 
 /// An acknowledgement that waits for its change to come round.
 struct Waiting {
     job: Job,
-    round: Round,
+    round: PendingAck,
     look_at: u64,
 }
 
@@ -106,7 +106,7 @@
         // Answers to its life before are not taken for its own.
         self.next_call = self.rng.u64(..1 << 40);
         let zones = [("z1", "r1"), ("z2", "r1")].map(|(zone, region)| (zone.to_owned(), region.to_owned()));
-        let place = Place {
+        let place = MemberConfig {
             name: host(self.node),
             host: host(self.node),
             zones: BTreeMap::from(zones),
@@ -115,9 +115,9 @@
         };
         let seed = self.rng.u64(..);
         let mut house = Replica::new(Rc::new(place), restored, self.tuning, seed, now);
-        let fresh = |(at, _): &(u64, WatchCache)| now - at <= replica::HINT_GOOD_MS;
+        let fresh = |(at, _): &(u64, WatchCache)| now - at <= replica::SAVED_CACHE_MAX_AGE_MS;
         if let Some((_, copy)) = self.hint.take().filter(fresh) {
-            house.remember(copy);
+            house.load_watch_cache(copy);
         }
         self.house = Some(house);
         self.seek(now, seeds, out);
@@ -136,7 +136,7 @@
 
     /// Its agreement, while it runs.
     pub fn book(&self) -> Option<&Consensus> {
-        self.house.as_ref().map(Replica::book)
+        self.house.as_ref().map(Replica::consensus)
     }
 
     /// What its log makes, while it runs.
@@ -146,12 +146,12 @@
 
     /// The core's machines as it sees them, while it leads.
     pub fn core_view(&self, now: u64) -> Option<CoreView> {
-        self.house.as_ref().filter(|house| house.leads().is_some()).map(|house| house.core_view(now))
+        self.house.as_ref().filter(|house| house.leader_state().is_some()).map(|house| house.core_view(now))
     }
 
     /// It leads, and has an entry of its own term committed.
     pub fn leads(&self) -> bool {
-        self.house.as_ref().is_some_and(|house| house.leads().is_some())
+        self.house.as_ref().is_some_and(|house| house.leader_state().is_some())
     }
 
     /// Entries that it applied since its last snapshot, while it runs.
@@ -183,7 +183,7 @@
     fn act<R>(&mut self, now: u64, out: &mut Out, act: impl FnOnce(&mut Replica) -> R) -> Option<R> {
         let house = self.house.as_mut()?;
         let result = act(house);
-        let effects = house.take();
+        let effects = house.take_effects();
         self.carry_out(now, effects, out);
         Some(result)
     }
@@ -212,20 +212,22 @@
                 replica::Answer::Confirmed => Answer::State(self.state().map_or(0, ReplicatedState::version)),
                 replica::Answer::Units(units) => Answer::Units(units),
                 replica::Answer::Claim(claim) => Answer::Claim(claim),
-                replica::Answer::Taken => Answer::Done,
+                replica::Answer::Accepted => Answer::Done,
                 replica::Answer::Conflict(_) => Answer::Conflict,
                 replica::Answer::Unknown | replica::Answer::Forgotten(_) => Answer::Unknown,
-                replica::Answer::Elsewhere(elsewhere) => elsewhere.into(),
-                replica::Answer::Unfit(_) if matches!(job.question, Question::Core(_)) => Answer::Unfit,
-                unfit @ (replica::Answer::Wrong(_)
-                | replica::Answer::Unfit(_)
-                | replica::Answer::Missing(_)) => {
+                replica::Answer::NotLeader(elsewhere) => elsewhere.into(),
+                replica::Answer::MembershipRefused(_) if matches!(job.question, Question::Core(_)) => {
+                    Answer::Unfit
+                }
+                unfit @ (replica::Answer::Invalid(_)
+                | replica::Answer::MembershipRefused(_)
+                | replica::Answer::NotFound(_)) => {
                     panic!("{:?}: {unfit:?}", job.question)
                 }
             };
             Self::answer(job, answer, out);
         }
-        self.hint = effects.hint.map(|copy| (now, copy)).or(self.hint.take());
+        self.hint = effects.watch_cache_to_save.map(|copy| (now, copy)).or(self.hint.take());
         self.changed |= effects.changed;
     }
 
@@ -236,7 +238,7 @@
 
     /// Other hosts where members may be.
     pub(crate) fn seek(&mut self, now: u64, hosts: &[String], out: &mut Out) {
-        self.act(now, out, |house| house.seek(now, hosts));
+        self.act(now, out, |house| house.add_seed_hosts(now, hosts));
     }
 
     // ---- As the resources ----
@@ -244,7 +246,7 @@
     /// A packet came in.
     pub(crate) fn heard(&mut self, now: u64, packet: Packet, out: &mut Out) {
         match packet {
-            Packet::Book(envelope) => drop(self.act(now, out, |house| house.heard(now, vec![envelope]))),
+            Packet::Book(envelope) => drop(self.act(now, out, |house| house.receive(now, vec![envelope]))),
             Packet::Open(from, call) => out.posts.push((from, Packet::Opened(call))),
             Packet::Opened(_) => {}
             Packet::Reply(call, answer) => {
@@ -271,30 +273,30 @@
                 let body = serde_json::to_vec(body).expect("plain data").into();
                 let patch = matches!(job.question, Question::Patch(..));
                 let change = Change { patch, base: Some(*base), body };
-                self.wait(now, job, out, |house| house.change(now, change));
+                self.wait(now, job, out, |house| house.change_config(now, change));
             }
             Question::Evacuate(zone) => {
                 let zone = zone.clone();
-                self.wait(now, job, out, |house| house.zone(now, zone, false));
+                self.wait(now, job, out, |house| house.change_evacuation(now, zone, false));
             }
             Question::Return(zone) => {
                 let zone = zone.clone();
-                self.wait(now, job, out, |house| house.zone(now, zone, true));
+                self.wait(now, job, out, |house| house.change_evacuation(now, zone, true));
             }
             Question::Core(wish) => {
                 let wish = wish.clone();
-                self.wait(now, job, out, |house| house.order(now, wish));
+                self.wait(now, job, out, |house| house.change_membership(now, wish));
             }
             Question::Trial(tenant, lapse, _) => {
                 let (tenant, lapse) = (tenant.clone(), *lapse);
-                self.wait(now, job, out, |house| house.trial(now, tenant, lapse));
+                self.wait(now, job, out, |house| house.change_trial(now, tenant, lapse));
             }
             Question::Units(units) => {
                 let units = units.clone();
                 return self.ask(now, job, out, |house| {
-                    Ok(match house.units(now, &units)? {
-                        Lent::Now(answer) => Reply::Now(Box::new(Answer::Units(answer))),
-                        Lent::Later(ticket) => Reply::Later(ticket),
+                    Ok(match house.request_units(now, &units)? {
+                        UnitsReply::Immediate(answer) => Reply::Now(Box::new(Answer::Units(answer))),
+                        UnitsReply::Pending(ticket) => Reply::Later(ticket),
                     })
                 });
             }
@@ -302,12 +304,12 @@
                 let claim = *claim;
                 return self.ask(now, job, out, |house| {
                     Ok(match house.claim(now, &claim)? {
-                        Claimed::Now(answer) => Reply::Now(Box::new(Answer::Claim(answer))),
-                        Claimed::Later(ticket) => Reply::Later(ticket),
+                        ClaimReply::Immediate(answer) => Reply::Now(Box::new(Answer::Claim(answer))),
+                        ClaimReply::Pending(ticket) => Reply::Later(ticket),
                     })
                 });
             }
-            Question::Watch(watch) => match self.act(now, out, |house| house.called(now, watch))? {
+            Question::Watch(watch) => match self.act(now, out, |house| house.begin_watch(now, watch))? {
                 Ok(held) => {
                     self.changed = true;
                     self.held.push(HeldCall { from, call, watch: watch.clone(), held, look_at: now });
@@ -317,15 +319,17 @@
             Question::HangUp => {
                 let gone = self.held.iter().position(|held| (held.from, held.call) == (from, call));
                 if let Some(held) = gone.map(|at| self.held.remove(at)) {
-                    self.act(now, out, |house| house.hung_up(now, &held.watch, &held.held));
+                    self.act(now, out, |house| house.watch_disconnected(now, &held.watch, &held.held));
                 }
             }
-            Question::Beat(id, beat) => match self.act(now, out, |house| house.beat(now, id, beat))? {
-                Ok(Some(round)) => self.rounds.push(Waiting { job, round, look_at: now }),
-                Ok(None) => return Some(Answer::Done),
-                Err(elsewhere) => return Some(elsewhere.into()),
-            },
-            Question::Leave(id) => match self.act(now, out, |house| house.gone(now, id))? {
+            Question::Beat(id, beat) => {
+                match self.act(now, out, |house| house.record_heartbeat(now, id, beat))? {
+                    Ok(Some(round)) => self.rounds.push(Waiting { job, round, look_at: now }),
+                    Ok(None) => return Some(Answer::Done),
+                    Err(elsewhere) => return Some(elsewhere.into()),
+                }
+            }
+            Question::Leave(id) => match self.act(now, out, |house| house.remove_server(now, id))? {
                 Ok(round) => self.rounds.push(Waiting { job, round, look_at: now }),
                 Err(elsewhere) => return Some(elsewhere.into()),
             },
@@ -336,7 +340,7 @@
     fn wait(&mut self, now: u64, job: Job, out: &mut Out, ask: impl FnOnce(&mut Replica) -> Ticket) {
         let Some(house) = self.house.as_mut() else { return };
         self.jobs.insert(ask(house), job);
-        let effects = house.take();
+        let effects = house.take_effects();
         self.carry_out(now, effects, out);
     }
 
@@ -357,7 +361,7 @@
             }
             Err(elsewhere) => Some(elsewhere.into()),
         };
-        let effects = house.take();
+        let effects = house.take_effects();
         self.carry_out(now, effects, out);
         answer
     }
@@ -370,11 +374,11 @@
                 self.held.push(one);
                 continue;
             }
-            let answer = match self.act(now, out, |house| house.watch(now, &one.watch, &one.held)) {
+            let answer = match self.act(now, out, |house| house.answer_watch(now, &one.watch, &one.held)) {
                 Some(Ok(Some(answer))) => Answer::Watch(Box::new(answer)),
                 Some(Err(elsewhere)) => elsewhere.into(),
                 Some(Ok(None)) | None => {
-                    one.look_at = one.held.look_at(now);
+                    one.look_at = one.held.next_check_at(now);
                     self.held.push(one);
                     continue;
                 }
@@ -387,11 +391,11 @@
                 self.rounds.push(one);
                 continue;
             }
-            let answer = match self.act(now, out, |house| house.come_round(now, &one.round)) {
+            let answer = match self.act(now, out, |house| house.ack_ready(now, &one.round)) {
                 Some(Ok(true)) => Answer::Done,
                 Some(Err(elsewhere)) => elsewhere.into(),
                 Some(Ok(false)) | None => {
-                    one.look_at = one.round.look_at(now);
+                    one.look_at = one.round.next_check_at(now);
                     self.rounds.push(one);
                     continue;
                 }
@@ -404,10 +408,10 @@
 
     fn learned(&mut self, now: u64, answer: Answer) {
         let applied = match (answer, &mut self.house) {
-            (Answer::Watch(answer), Some(house)) => house.learned(now, *answer).is_ok(),
+            (Answer::Watch(answer), Some(house)) => house.apply_watch_answer(now, *answer).is_ok(),
             _ => false,
         };
-        self.watch_at = if applied { now } else { now + follow::AGAIN_MS };
+        self.watch_at = if applied { now } else { now + follower::RETRY_MS };
     }
 
     /// `follow::once`.
@@ -416,20 +420,21 @@
         if let Some((call, until, to)) = self.watching {
             if now >= until {
                 self.watching = None;
-                self.watch_at = now + follow::AGAIN_MS;
+                self.watch_at = now + follower::RETRY_MS;
                 out.posts.push((to, Packet::Ask(self.node, call, Question::HangUp)));
             }
         }
         if self.watching.is_some() || now < self.watch_at {
             return;
         }
-        let Some(to) = house.elsewhere().leader.and_then(|leader| node_of(&leader)) else {
-            self.watch_at = now + follow::AGAIN_MS;
+        let Some(to) = house.leader_redirect().leader.and_then(|leader| node_of(&leader)) else {
+            self.watch_at = now + follower::RETRY_MS;
             return;
         };
         self.next_call += 1;
-        self.watching = Some((self.next_call, now + follow::HOLD_MS + follow::SLACK_MS, to));
-        out.posts.push((to, Packet::Ask(self.node, self.next_call, Question::Watch(house.ask(1)))));
+        self.watching =
+            Some((self.next_call, now + follower::WATCH_HOLD_MS + follower::ANSWER_MARGIN_MS, to));
+        out.posts.push((to, Packet::Ask(self.node, self.next_call, Question::Watch(house.watch_call(1)))));
     }
 
     // ---- Time and disk ----
--- a/crates/simulation/src/simulation/scripts.rs
+++ b/crates/simulation/src/simulation/scripts.rs
@@ -46,8 +46,8 @@
 
     /// The core machines that are there and that operators don't keep away, by the last order that was agreed on.
     pub fn wanted(&self) -> Vec<Node> {
-        let (_, order) = self.audit.state.core();
-        let away = |node: &Node| order.away.iter().any(|away| away.host == host(*node));
+        let (_, order) = self.audit.state.membership_order();
+        let away = |node: &Node| order.excluded.iter().any(|away| away.host == host(*node));
         (0..self.members.len()).filter(|node| !away(node) && !self.absent.contains(node)).collect()
     }
 
@@ -64,7 +64,7 @@
             };
             other.is_some_and(agrees)
         };
-        let settled = self.members[leader].core_view(self.now).is_some_and(|view| view.open.is_none());
+        let settled = self.members[leader].core_view(self.now).is_some_and(|view| view.open_order.is_none());
         let wanted = self.wanted();
         settled && book.members().len() == wanted.len() && wanted.iter().all(knows)
     }
@@ -73,7 +73,7 @@
     pub fn settle_core(&mut self, ms: u64) {
         let fine = self.until(ms, World::complete);
         let view = self.leader().and_then(|leader| self.members[leader].core_view(self.now));
-        let order = self.audit.state.core();
+        let order = self.audit.state.membership_order();
         assert!(
             fine,
             "seed {}, {} ms: {order:?} is not carried out: {view:?}{}",
--- a/crates/simulation/tests/closing.rs
+++ b/crates/simulation/tests/closing.rs
@@ -3,7 +3,7 @@
 //! machine has been back for `sync_time_s`, while operators and servers give every kind of order without a pause
 //! (`docs/design/acknowledgements.md`).
 
-use nickeljunction_replica::Wish;
+use nickeljunction_replica::MembershipRequest;
 use nickeljunction_simulation::{host, Plan, Question, World};
 
 /// Days of each deployment; `CLOSING_DAYS` sets another number.
@@ -319,7 +319,7 @@
             // At times an operator says so, too.
             for (new, old) in back.iter().zip(&gone) {
                 if world.rng.bool() {
-                    let wish = Wish::Come(host(*new), Some(host(*old)));
+                    let wish = MembershipRequest::Add(host(*new), Some(host(*old)));
                     let to = present(&mut world);
                     world.order(to, Question::Core(wish));
                 }
--- a/crates/simulation/tests/cut_off.rs
+++ b/crates/simulation/tests/cut_off.rs
@@ -8,7 +8,7 @@
 
 use nickeljunction_messages::{ServerState, UnitsCall};
 use nickeljunction_registry::{Heartbeat, WatchCache};
-use nickeljunction_replica::Wish;
+use nickeljunction_replica::MembershipRequest;
 use nickeljunction_simulation::{host, Answer, Plan, Question, World, TENANT};
 
 const SEEDS: u64 = 3;
@@ -103,7 +103,7 @@
         2 => world.put(base, 90),
         3 => world.patch(base, 80),
         4 => Question::Evacuate(if number.is_multiple_of(24) { "z1".into() } else { "z2".into() }),
-        5 => Question::Core(Wish::Come(host(world.rng.usize(..PLAN.members)), None)),
+        5 => Question::Core(MembershipRequest::Add(host(world.rng.usize(..PLAN.members)), None)),
         6 => Question::Trial(TENANT.into(), world.rng.bool(), world.now),
         7 => Question::Beat("late".into(), beat(ServerState::InService, number)),
         8 => Question::Beat(format!("gone{number}"), beat(ServerState::Draining, number)),
@@ -296,8 +296,10 @@
         while world.members[old].leads() {
             let base = world.audit.newest;
             let (put, patch) = (world.put(base, 80), world.patch(base, 70));
-            let (stranger, trial) =
-                (Wish::Go("10.9.9.9".into()), Question::Trial(TENANT.into(), true, world.now));
+            let (stranger, trial) = (
+                MembershipRequest::Remove("10.9.9.9".into()),
+                Question::Trial(TENANT.into(), true, world.now),
+            );
             let all = [Question::Get, put, patch, Question::Core(stranger), trial];
             calls.extend(all.map(|question| world.ask_only(old, question)));
             world.run(5);
--- a/crates/simulation/tests/storms.rs
+++ b/crates/simulation/tests/storms.rs
@@ -1,6 +1,6 @@
 //! Storms over whole clusters: 30 s of faults drawn by chance, then calm. `STORM=seed` plays one again.
 
-use nickeljunction_replica::Wish;
+use nickeljunction_replica::MembershipRequest;
 use nickeljunction_simulation::{host, Plan, Question, World, WINDOW_MS};
 use std::collections::BTreeSet;
 
@@ -62,13 +62,13 @@
 }
 
 /// An order on the core's members, whatever it may make of them.
-fn wish(world: &mut World) -> Wish {
+fn wish(world: &mut World) -> MembershipRequest {
     let members = world.members.len();
     let (one, other) = (host(world.rng.usize(..members)), host(world.rng.usize(..members)));
     match world.rng.u8(..3) {
-        0 => Wish::Go(one),
-        1 => Wish::Come(one, None),
-        _ => Wish::Come(one, Some(other)),
+        0 => MembershipRequest::Remove(one),
+        1 => MembershipRequest::Add(one, None),
+        _ => MembershipRequest::Add(one, Some(other)),
     }
 }
 
