--- a/crates/edge/src/claim_attempt.rs
+++ b/crates/edge/src/claim_attempt.rs
@@ -1,71 +1,72 @@
-//! How one try of a keyed operation gets its claim, or what it is told instead, without I/O: its driver makes the calls that
-//! a [`ClaimStep`] names and hands over their answers.
+//! How one request of a keyed operation gets its claim, or what it is answered instead, without I/O: the caller performs
+//! the calls that a [`ClaimStep`] names and passes their answers back.
 
 use crate::operations::{BeginResult, OperationTable, StoredAnswer};
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, Claimant, OperationId, RecallAnswer, RecallCall};
 use std::rc::Rc;
 
-/// Claims that are tried for one request: each further one takes over a claim that was released meanwhile.
-const MOST_CLAIMS: usize = 3;
+/// Claims that are tried for one request: each further one replaces a claim that was released in the meantime.
+const MAX_CLAIMS: usize = 3;
 
-/// What a try does next.
+/// What the caller does next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimStep {
-    /// Have the leader grant this claim; [`ClaimAttempt::claimed`] is to be told of the answer.
+    /// Request this claim from the leader and pass the answer to [`ClaimAttempt::on_claim_answer`].
     Claim(ClaimCall),
-    /// Ask the holder of a claim; [`ClaimAttempt::recalled`] is to be told of the answer.
+    /// Query the holder of a claim and pass the answer to [`ClaimAttempt::on_recall_answer`].
     Recall(RecallCall),
-    /// The try is over: it runs nothing.
+    /// The request gets no claim, and its operation is not run.
     Refused(ClaimRefusal),
 }
 
-/// Why a try runs nothing.
+/// Why a request's operation is not run.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimRefusal {
-    /// The operation ran: this is the first run's answer.
+    /// The operation has run: this is the answer of the first run.
     Answered(Rc<StoredAnswer>),
-    /// Another try is being claimed, or at a server.
+    /// Another request of the operation is being claimed or is at a server.
     InProgress,
-    /// It may have run, and there is no answer.
+    /// The operation may have run, and there is no answer.
     InDoubt,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     OtherRequest,
-    /// As many operations as fit are remembered.
+    /// The table of operations is full.
     TableFull,
     /// The leader did not answer in time.
     LeaderTimeout,
-    /// Each claim that was made met another one.
+    /// Each claim that was requested conflicted with another one.
     TooManyConflicts,
 }
 
-/// One try's way to a claim.
+/// The state of one request on its way to a claim.
 #[derive(Debug, Clone)]
 pub struct ClaimAttempt {
     operation: OperationId,
-    request: u64,
+    request_digest: u64,
     claims_left: usize,
-    /// The claim that was last made.
+    /// Number of the claim that was requested last.
     number: u64,
-    /// The claim of another process that was said to be released.
-    taken_over: Option<Claimant>,
+    /// The claim of another process that was reported as released, which the next claim replaces.
+    replaced: Option<Claimant>,
 }
 
 impl ClaimAttempt {
-    /// Of a request, named by its digest, under a key.
-    pub fn new(operation: OperationId, request: u64) -> ClaimAttempt {
-        ClaimAttempt { operation, request, claims_left: MOST_CLAIMS, number: 0, taken_over: None }
+    /// An attempt for the request with this digest, under the key of `operation`.
+    pub fn new(operation: OperationId, request_digest: u64) -> ClaimAttempt {
+        ClaimAttempt { operation, request_digest, claims_left: MAX_CLAIMS, number: 0, replaced: None }
     }
 
-    /// What is to be done first, again while another try is at work, and after each claim that was found to be released.
+    /// The first step. It is also the next step after a claim was found to be released, and the caller repeats it while
+    /// another request of the operation is in progress.
     pub fn begin(&mut self, now: f64, table: &mut OperationTable) -> ClaimStep {
         if self.claims_left == 0 {
             return ClaimStep::Refused(ClaimRefusal::TooManyConflicts);
         }
-        ClaimStep::Refused(match table.begin(now, self.operation, self.request) {
+        ClaimStep::Refused(match table.begin(now, self.operation, self.request_digest) {
             BeginResult::Claim { claimant, released } => {
                 self.claims_left -= 1;
                 self.number = claimant.number;
-                let released = self.taken_over.or(released);
+                let released = self.replaced.or(released);
                 return ClaimStep::Claim(ClaimCall { operation: self.operation, claimant, released });
             }
             BeginResult::Answered(answer) => ClaimRefusal::Answered(answer),
@@ -76,8 +77,8 @@
         })
     }
 
-    /// The leader answered, or did not in time. `None`: the claim is granted, and the operation may be sent to a server; else
-    /// it is released.
+    /// Handles the leader's answer; `answer` is `None` after a time-out. `None`: the claim is granted, and the operation
+    /// may be sent to a server. Otherwise the claim is released.
     pub fn on_claim_answer(
         &mut self,
         now: f64,
@@ -89,14 +90,15 @@
         }
         table.release(now, self.operation, self.number);
         Some(match answer {
-            Some(ClaimAnswer::Held(holder)) => self.ask(now, table, holder),
+            Some(ClaimAnswer::Held(holder)) => self.query_holder(now, table, holder),
             Some(ClaimAnswer::Full) => ClaimStep::Refused(ClaimRefusal::TableFull),
             Some(ClaimAnswer::Granted) | None => ClaimStep::Refused(ClaimRefusal::LeaderTimeout),
         })
     }
 
-    fn ask(&mut self, now: f64, table: &mut OperationTable, holder: Claimant) -> ClaimStep {
-        let call = RecallCall { operation: self.operation, claimant: holder, request_digest: self.request };
+    fn query_holder(&mut self, now: f64, table: &mut OperationTable, holder: Claimant) -> ClaimStep {
+        let call =
+            RecallCall { operation: self.operation, claimant: holder, request_digest: self.request_digest };
         if !table.is_own_claim(&holder) {
             return ClaimStep::Recall(call);
         }
@@ -104,7 +106,7 @@
         self.on_recall_answer(now, table, holder, Some(answer))
     }
 
-    /// The holder of a claim answered, or did not in time.
+    /// Handles the answer of the holder of a claim; `answer` is `None` after a time-out.
     pub fn on_recall_answer(
         &mut self,
         now: f64,
@@ -114,7 +116,7 @@
     ) -> ClaimStep {
         ClaimStep::Refused(match answer {
             Some(RecallAnswer::Released) => {
-                self.taken_over = Some(holder);
+                self.replaced = Some(holder);
                 return self.begin(now, table);
             }
             Some(RecallAnswer::InProgress) => ClaimRefusal::InProgress,
--- a/crates/edge/src/claim_client.rs
+++ b/crates/edge/src/claim_client.rs
@@ -1,18 +1,19 @@
-//! What claims of keyed operations need of the core and of other gateways, as the clients' side sees it.
+//! The calls that keyed operations make to the core and to other gateways, as the client side sees them.
 
 use nickeljunction_messages::{ClaimAnswer, ClaimCall, RecallAnswer, RecallCall};
 use std::future::Future;
 use std::pin::Pin;
 
-/// An answer that is awaited; `None`: none came in time.
+/// The answer to a call; `None`: there was no answer in time.
 pub type CallFuture<'a, A> = Pin<Box<dyn Future<Output = Option<A>> + 'a>>;
 
-/// The core's leader, and the gateways that hold claims.
+/// Calls to the core's leader and to the gateways that hold claims.
 pub trait ClaimClient {
-    /// Has the leader grant a claim. It is asked again, unchanged, until it answers or `until`, ms of the program's clock.
+    /// Requests a claim from the leader. The call is repeated unchanged until the leader answers, or until `until`, ms
+    /// of the process clock.
     fn claim<'a>(&'a self, call: &'a ClaimCall, until: f64) -> CallFuture<'a, ClaimAnswer>;
-    /// Asks the holder of a claim what became of it, `timeout_ms` at most.
+    /// Queries the holder of a claim for its outcome, for `timeout_ms` at most.
     fn recall<'a>(&'a self, call: &'a RecallCall, timeout_ms: f64) -> CallFuture<'a, RecallAnswer>;
-    /// The core has been out of reach for so long that no claim is to be expected.
+    /// Whether the core has been unreachable for too long to expect that a claim would be granted.
     fn is_core_unreachable(&self) -> bool;
 }
--- a/crates/edge/src/drain.rs
+++ b/crates/edge/src/drain.rs
@@ -1,33 +1,34 @@
-//! The order of an orderly shutdown: connections are taken until none can be served any more, requests at work are waited
-//! for, what has no answer by then is told so, and only then the process may end.
+//! The steps of an orderly shutdown: accept connections until none can be served any more, wait for the requests in
+//! progress, answer the rest with a refusal, and only then let the process end.
 
 use crate::front::Lifecycle;
 use crate::shutdown::Shutdown;
 use nickeljunction_net::wheel::Wheel;
 use std::future::Future;
 
-/// At least so long after the order connections are taken, ms: clients that were sent here still come.
-const ACCEPT_LEAST_MS: f64 = 1_500.0;
-/// For giving units back and for the last bytes to clients, ms.
-const LAST_MS: f64 = 150.0;
+/// Connections are accepted for at least this time after the shutdown begins, ms: clients that were directed here before
+/// still connect.
+const MIN_ACCEPT_MS: f64 = 1_500.0;
+/// Time for returning quota units and for the last bytes to clients, ms.
+const FINAL_MS: f64 = 150.0;
 
-/// Drains a front whose [`Lifecycle::leave`] has been called. Ready when the process may end: no connection is open, or
-/// the time of the schedule is over. `give_back` runs when no request can begin any more.
+/// Drains a front whose [`Lifecycle::leave`] has been called. Completes when the process may end: no connection is open,
+/// or the time of the schedule is over. `return_units` runs once no request can begin any more.
 pub async fn drain(
     wheel: &Wheel,
     lifecycle: &Lifecycle,
     shutdown: Shutdown,
-    give_back: impl Future<Output = ()>,
+    return_units: impl Future<Output = ()>,
 ) {
-    let left_until = |until: f64| (until - wheel.now()).max(0.0);
-    wheel.sleep_until((shutdown.began + ACCEPT_LEAST_MS).min(shutdown.work_until)).await;
-    wheel.timeout(left_until(shutdown.work_until), lifecycle.empty()).await;
+    let remaining_ms = |until: f64| (until - wheel.now()).max(0.0);
+    wheel.sleep_until((shutdown.began + MIN_ACCEPT_MS).min(shutdown.work_until)).await;
+    wheel.timeout(remaining_ms(shutdown.work_until), lifecycle.empty()).await;
     lifecycle.stop_accepting();
-    // Between the last look and here another one may have been taken.
-    wheel.timeout(left_until(shutdown.answers_until), lifecycle.empty()).await;
+    // Another connection may have been accepted between the last check and here.
+    wheel.timeout(remaining_ms(shutdown.answers_until), lifecycle.empty()).await;
     lifecycle.end();
-    let last = async {
-        tokio::join!(give_back, lifecycle.empty());
+    let finish = async {
+        tokio::join!(return_units, lifecycle.empty());
     };
-    wheel.timeout(LAST_MS, last).await;
+    wheel.timeout(FINAL_MS, finish).await;
 }
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What travels between the client's side and the servers' side of a gateway.
+//! Types that pass between the client side and the server side of a gateway.
 
 use crate::tenant_pacing::TenantPacing;
 use bytes::Bytes;
@@ -11,36 +11,37 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Longest body, bytes, of a request or of an answer that is held whole. What is longer is streamed: a streamed request
-/// goes to one server at most, a streamed answer breaks off where its server's does.
+/// Longest body of a request or of an answer that is buffered whole. Longer bodies are streamed: a streamed request
+/// is sent to one server at most, and a streamed answer breaks off where the server's answer does.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// A body that is still coming in.
+/// A body that is still being received.
 pub struct BodyStream {
-    /// Its length, bytes, where it is known beforehand; else it is sent on in chunks.
+    /// Length in bytes if it is known beforehand; otherwise the body is forwarded in chunks.
     pub length: Option<u64>,
-    /// Its parts in order, few at a time (backpressure). The end of the channel without [`BodyPart::End`] is a break.
+    /// The parts in order. The channel is short, for backpressure. If it closes without [`BodyPart::End`], the body
+    /// is incomplete.
     pub parts: mpsc::Receiver<BodyPart>,
 }
 
 /// A part of a streamed body.
 #[derive(Debug, Clone, PartialEq)]
 pub enum BodyPart {
-    /// Bytes.
+    /// Bytes of the body.
     Data(Bytes),
     /// The body is complete.
     End,
 }
 
-/// A body.
+/// The body of a request.
 pub enum RequestBody {
-    /// Held whole.
+    /// Held whole in memory.
     Buffered(Bytes),
-    /// Streamed: whoever takes it first has it.
+    /// Streamed. The first send takes the stream and leaves `None`.
     Streamed(RefCell<Option<BodyStream>>),
 }
 
-/// A client's request that is allowed, on its way to a server.
+/// An admitted request of a client, on its way to a server.
 pub struct Exchange {
     /// Method as the client sent it.
     pub method: String,
@@ -50,36 +51,37 @@
     pub headers: Headers,
     /// The body.
     pub body: RequestBody,
-    /// Value of `X-Attempt-Id`, which every answer of a server must carry back.
+    /// Value of `X-Attempt-Id`, which every answer of a server must repeat.
     pub attempt_id: String,
-    /// Tenant for `X-Tenant-Name`; `None` on an open route: the header is taken away.
+    /// Tenant for `X-Tenant-Name`. `None` on an open route: the client's own header is removed.
     pub tenant: Option<String>,
     /// The service.
     pub backend: Rc<str>,
-    /// Regions that may serve it; empty: any.
+    /// Regions that may serve the request; empty: any.
     pub home_regions: Rc<[String]>,
-    /// What may be repeated.
+    /// Whether the request may be sent again.
     pub retry_safety: RetrySafety,
-    /// Full worth is earned within this time, ms.
+    /// An answer within this time earns its full worth, ms.
     pub target_latency_ms: f64,
-    /// Most servers that it may be sent to.
+    /// Most servers that the request may be sent to.
     pub max_attempts: u32,
-    /// Rank, 0 the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// When its head had been read, ms of the program's clock, and how long it may take from then on: the lesser of the
-    /// client's `X-Deadline-Remaining` and the route's `timeout_s`.
+    /// When the request head had been read, ms of the process clock.
     pub arrived: f64,
-    /// See `arrived`, ms.
+    /// Time from `arrived` within which the request must be answered, ms: the lesser of the client's
+    /// `X-Deadline-Remaining` and the route's `timeout_s`.
     pub timeout_ms: f64,
-    /// Its unit is good for a first byte until then, ms of the program's clock; infinite without a tenant.
+    /// The first byte must be sent by this time for the quota unit to cover it, ms of the process clock; infinite
+    /// without a tenant.
     pub unit_valid_until: f64,
-    /// Where the one final answer goes.
+    /// Receives the one final answer.
     pub reply: oneshot::Sender<Answer<ServerResponse>>,
 }
 
 /// A server's answer.
 pub struct ServerResponse {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Header lines.
     pub headers: Headers,
@@ -87,42 +89,46 @@
     pub body: ResponseBody,
 }
 
-/// A server's body.
+/// The body of a server's answer.
 pub enum ResponseBody {
-    /// Held whole.
+    /// Held whole in memory.
     Buffered(Bytes),
-    /// Longer than [`MAX_BUFFERED_BODY_BYTES`] (or of unknown length and longer): passed on as it comes.
+    /// Longer than [`MAX_BUFFERED_BODY_BYTES`], by its stated length or by what has been read: forwarded as it is
+    /// received.
     Streamed(BodyStream),
 }
 
-/// The servers' side, as the clients' side sees it.
+/// The server side of the gateway, as the client side calls it.
 pub trait Dispatch {
-    /// Takes a request; exactly one answer comes through [`Exchange::reply`], at the end of its patience at the latest.
-    /// Dropping the receiver means that the client has gone.
+    /// Takes a request. Exactly one answer is sent to [`Exchange::reply`], no later than the request's time-out.
+    /// A dropped receiver means that the client has disconnected.
     fn dispatch(&self, exchange: Exchange);
 }
 
-/// What admission says of a request.
+/// The result of admission control for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdmissionDecision {
-    /// It may go; its unit is spent. The unit must be used before this time, ms of the program's clock.
+    /// The request is admitted and its quota unit is spent. The unit must be used before this time, ms of the process
+    /// clock.
     Admitted(f64),
-    /// Beyond the tenant's quota: 429, come back after so many ms.
+    /// The tenant is over its quota (429). Holds the time after which to retry, ms.
     OverQuota(f64),
-    /// The core has not been heard of for too long to know keys and units (503), come back after so many ms.
+    /// The gateway has had no contact with the core for too long to know keys and quota units (503). Holds the time
+    /// after which to retry, ms.
     QuotaUnknown(f64),
 }
 
-/// Units of tenants and the lease of knowledge, as the clients' side sees them.
+/// Quota units of tenants and the gateway's lease, as the client side calls them.
 pub trait Admission {
-    /// Asks for one unit of a tenant; waits for the counter at most a short time-out.
+    /// Requests one quota unit of a tenant. Waits for the quota counter for a short time-out at most.
     fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = AdmissionDecision> + 'a>>;
-    /// Takes one more unit of a tenant at once, for a send beyond the one that was admitted or later than its unit allows.
-    /// False: there is none, and nothing is to be sent.
+    /// Takes one more quota unit of a tenant without waiting, for a retry or for a send after the admitted unit has
+    /// expired. `false`: there is none, and nothing may be sent.
     fn take_extra_unit(&self, tenant: &str) -> bool;
-    /// `None`: keys may be taken as known. Else for so many ms they may not: revocations bind machines out of touch, too.
+    /// `None`: the known API keys may be used. Otherwise they may not, because a key may have been revoked while this
+    /// gateway had no contact with the core, and the client should retry after this time, ms.
     fn stale_retry_after_ms(&self) -> Option<f64>;
-    /// Where a tenant's trial has lapsed: what holds its requests. `None`: nobody is slowed.
+    /// Delays requests of tenants whose trial has lapsed. `None`: no tenant is slowed down.
     fn pacing(&self) -> Option<&TenantPacing> {
         None
     }
--- a/crates/edge/src/hedge.rs
+++ b/crates/edge/src/hedge.rs
@@ -1,36 +1,34 @@
-//! When a call that may be made twice is made once more beside the first: packets get lost, and waiting for them to be sent
-//! again would take longer than asking again. No I/O.
+//! The delay after which an idempotent call is sent a second time while the first is still unanswered: packets get lost,
+//! and waiting for their retransmission takes longer than a second call. No I/O.
 
-/// Before any call was answered, ms.
-const FIRST_MS: f64 = 100.0;
-/// Never sooner, ms.
-const LEAST_MS: f64 = 15.0;
-/// Never later, ms.
-const MOST_MS: f64 = 400.0;
-/// Weight of one call in the mean, and in the mean deviation.
+/// Delay before the first measurement, ms.
+const INITIAL_MS: f64 = 100.0;
+const MIN_MS: f64 = 15.0;
+const MAX_MS: f64 = 400.0;
+/// Weight of one call in the mean latency and in the mean deviation.
 const GAIN: f64 = 0.1;
-/// Mean deviations above the mean that a call may take.
+/// The delay is the mean latency plus this number of mean deviations.
 const DEVIATIONS: f64 = 4.0;
 
-/// How long calls of one sort take.
+/// The hedging delay for one kind of call, from its measured latencies.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct HedgeDelay {
-    /// Mean and mean deviation, ms; `None` before the first call.
-    known: Option<(f64, f64)>,
+    /// Mean and mean deviation of the latency, ms; `None` before the first measurement.
+    latency: Option<(f64, f64)>,
 }
 
 impl HedgeDelay {
-    /// A call was answered after so many ms, from its own sending on.
+    /// Records the latency of one call, from when it was sent itself.
     pub fn record_latency(&mut self, ms: f64) {
-        let (mean, deviation) = self.known.unwrap_or((ms, ms / DEVIATIONS));
-        let off = ms - mean;
-        self.known = Some((mean + GAIN * off, deviation + GAIN * (off.abs() - deviation)));
+        let (mean, deviation) = self.latency.unwrap_or((ms, ms / DEVIATIONS));
+        let difference = ms - mean;
+        self.latency = Some((mean + GAIN * difference, deviation + GAIN * (difference.abs() - deviation)));
     }
 
-    /// A call that is not answered after so many ms is made once more.
+    /// The time without an answer after which a call is sent again, ms.
     pub fn delay_ms(&self) -> f64 {
-        let (mean, deviation) = self.known.unwrap_or((FIRST_MS, 0.0));
-        (mean + DEVIATIONS * deviation).clamp(LEAST_MS, MOST_MS)
+        let (mean, deviation) = self.latency.unwrap_or((INITIAL_MS, 0.0));
+        (mean + DEVIATIONS * deviation).clamp(MIN_MS, MAX_MS)
     }
 }
 
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -588,7 +588,7 @@
             // Told before the end is: where the region has no other server, the next send finds those of others.
             let until = wheel.now() + UNREACHED_MS;
             self.shared.book.borrow_mut().unreached.insert(task.region.clone(), until);
-            if !lane.overflow.get().is_wide() {
+            if !lane.overflow.get().spills() {
                 self.tables();
             }
         } else if ended.outcome != Outcome::NotSent {
@@ -632,7 +632,7 @@
         }
         lane.note(|overflow| overflow.record_send(room));
         let overflow = lane.overflow.get();
-        if overflow.should_be_wide(lane.own_slots.get()) != overflow.is_wide() {
+        if overflow.should_spill(lane.own_slots.get()) != overflow.spills() {
             self.tables();
         }
     }
--- a/crates/edge/src/recall.rs
+++ b/crates/edge/src/recall.rs
@@ -1,4 +1,4 @@
-//! The resource at which other gateways ask what became of an operation that this one claimed.
+//! The resource through which other gateways query the outcome of operations that this gateway has claimed.
 
 use crate::operations::OperationTable;
 use nickeljunction_messages::RecallCall;
@@ -7,14 +7,14 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Answers [`RecallCall`]s from the gateway's table.
+/// Answers [`RecallCall`]s from the gateway's table of operations.
 pub struct RecallResource {
     wheel: Wheel,
     operations: Rc<RefCell<OperationTable>>,
 }
 
 impl RecallResource {
-    /// Answers from this table.
+    /// A resource that answers from this table.
     pub fn new(wheel: Wheel, operations: Rc<RefCell<OperationTable>>) -> RecallResource {
         RecallResource { wheel, operations }
     }
