--- a/crates/edge/src/operations.rs
+++ b/crates/edge/src/operations.rs
@@ -1,7 +1,9 @@
-//! The keyed operations that this gateway claimed, without I/O: what a repeat is told, here or at another gateway.
+//! The table of keyed operations that this gateway has claimed, without I/O. It determines the answer to a repeated
+//! request, at this gateway or at another one.
 //!
-//! A claim's number is used once. A claim that ended before a server was asked is released: its number never runs, so that
-//! another claim may take its place. Whatever else ended without an answer is in doubt, and is never run again.
+//! A claim's number is used once. A claim that ended before a request was sent to a server is released: its number never
+//! runs, so another claim may replace it. A claim that ended otherwise without an answer is in doubt, and its operation is
+//! not run again.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -17,55 +19,56 @@
 
 use crate::exchange::{ResponseBody, ServerResponse};
 
-/// Most bytes of answers that are kept; beyond that the oldest are dropped.
+/// Limit on the stored answers; beyond it the oldest are dropped.
 pub const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// Most operations that are remembered.
+/// Limit on the operations in the table.
 pub const MAX_OPERATIONS: usize = 32 * 1024;
-/// An operation is remembered for so long beyond the window in which repeats come, ms.
-const BEYOND_WINDOW_MS: f64 = 30_000.0;
-/// What a kept answer takes beside its lines and its body, bytes.
-const ANSWER_BYTES: usize = 128;
+/// An operation is kept for this time after the window in which repeats may arrive, ms.
+const EXTRA_RETENTION_MS: f64 = 30_000.0;
+/// Memory of a stored answer in addition to its lines and its body.
+const ANSWER_OVERHEAD_BYTES: usize = 128;
 
-/// Digest of a request, by which another one under the same key is told apart. `body`: where it is held whole.
+/// Digest of a request, which distinguishes it from other requests under the same key. `body`: `None` if it is streamed.
 pub fn request_digest(method: &str, target: &str, body: Option<&[u8]>) -> u64 {
     let mut hasher = SipHasher13::new();
-    text(&mut hasher, method.as_bytes());
-    text(&mut hasher, target.as_bytes());
+    hash_text(&mut hasher, method.as_bytes());
+    hash_text(&mut hasher, target.as_bytes());
     hasher.write(&[u8::from(body.is_some())]);
-    text(&mut hasher, body.unwrap_or_default());
+    hash_text(&mut hasher, body.unwrap_or_default());
     hasher.finish()
 }
 
-/// With its length in front, so that no two rows of texts look alike.
-fn text(hasher: &mut SipHasher13, bytes: &[u8]) {
+/// Hashes the length before the bytes, so that different sequences of texts never hash the same bytes.
+fn hash_text(hasher: &mut SipHasher13, bytes: &[u8]) {
     hasher.write(&(bytes.len() as u64).to_le_bytes());
     hasher.write(bytes);
 }
 
-/// A server's answer that is kept for repeats.
+/// A server's answer that is stored for repeated requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredAnswer {
     status: u16,
-    /// Header lines with their ends, but for `X-Attempt-Id`.
+    /// Header lines with their line ends, without `X-Attempt-Id`.
     lines: String,
     body: Bytes,
 }
 
 impl StoredAnswer {
-    /// A copy of an answer; `None`: its body is streamed, or a line of it is no text.
-    pub fn from_response(served: &ServerResponse) -> Option<StoredAnswer> {
-        let ResponseBody::Buffered(body) = &served.body else { return None };
+    /// A copy of an answer; `None`: its body is streamed, or a header line is not UTF-8.
+    pub fn from_response(response: &ServerResponse) -> Option<StoredAnswer> {
+        let ResponseBody::Buffered(body) = &response.body else { return None };
         let mut lines = String::new();
-        for (name, value) in served.headers.passed_on() {
+        for (name, value) in response.headers.passed_on() {
             if !name.eq_ignore_ascii_case("x-attempt-id") {
                 lines.extend([name, ": ", std::str::from_utf8(value).ok()?, "\r\n"]);
             }
         }
-        // Copied: a part of a read buffer would hold the whole buffer.
-        Some(StoredAnswer { status: served.status, lines, body: Bytes::copy_from_slice(body) })
+        // Copied, because a slice of a read buffer would keep the whole buffer in memory.
+        Some(StoredAnswer { status: response.status, lines, body: Bytes::copy_from_slice(body) })
     }
 
-    /// The answer as the client of this try gets it; `None`: what another gateway sent can't be read.
+    /// The answer to the request with this `X-Attempt-Id`; `None`: the answer came from another gateway and is not valid
+    /// HTTP.
     pub fn to_response(&self, attempt_id: &str) -> Option<ServerResponse> {
         let StoredAnswer { status, lines, body } = self;
         let head = format!(
@@ -80,7 +83,7 @@
         })
     }
 
-    /// As it goes to another gateway.
+    /// The message for another gateway.
     pub fn to_message(&self) -> KeptAnswer {
         let lines = self.lines.lines().filter_map(|line| line.split_once(": "));
         KeptAnswer {
@@ -90,23 +93,23 @@
         }
     }
 
-    /// As it came from another gateway.
+    /// The answer in a message of another gateway; `None`: its body is not valid base64.
     pub fn from_message(message: &KeptAnswer) -> Option<StoredAnswer> {
         let lines = message.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
         let body = STANDARD.decode(&message.body).ok()?.into();
         Some(StoredAnswer { status: message.status, lines, body })
     }
 
-    fn bytes(&self) -> usize {
-        ANSWER_BYTES + self.lines.len() + self.body.len()
+    fn size_bytes(&self) -> usize {
+        ANSWER_OVERHEAD_BYTES + self.lines.len() + self.body.len()
     }
 }
 
 #[derive(Debug, Clone)]
 enum State {
-    /// Being claimed, or at a server.
+    /// Being claimed or at a server.
     InProgress,
-    /// It ran nowhere, and this claim's number will never be used.
+    /// The operation was run by no server, and this claim's number will never be used.
     Released,
     Answered(Rc<StoredAnswer>),
     InDoubt,
@@ -114,113 +117,113 @@
 
 #[derive(Debug, Clone)]
 struct Record {
-    /// The first of the numbers under which this gateway claimed it: all before `number` were released.
-    first: u64,
+    /// The first number under which this gateway claimed the operation. All its claims before `number` were released.
+    first_number: u64,
     number: u64,
-    request: u64,
+    request_digest: u64,
     state: State,
     /// When the state was entered, ms.
     since: f64,
 }
 
-/// What a request under a key may do.
+/// How to proceed with a request under a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum BeginResult {
-    /// Claim the operation.
+    /// The operation must be claimed.
     Claim {
-        /// Under this number, which is at work from now on.
+        /// The claim to request, whose number is in progress from now on.
         claimant: Claimant,
-        /// The claim of this gateway before it, which was released.
+        /// The previous claim of this gateway, which was released.
         released: Option<Claimant>,
     },
-    /// Come back later.
+    /// Another request of the operation is in progress.
     InProgress,
-    /// Have the first run's answer.
+    /// The operation has run: this is its answer.
     Answered(Rc<StoredAnswer>),
-    /// Nothing: it may have run.
+    /// The operation may have run and must not run again.
     InDoubt,
-    /// Nothing: the key was used for another request.
+    /// The key was used for a different request.
     OtherRequest,
-    /// Nothing: as many operations as fit are remembered.
+    /// The table is full.
     Full,
 }
 
-/// What a table has seen since the start.
+/// Counts of one table since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OperationCounts {
     /// Claims begun.
     pub claims: u64,
     /// Claims that were released.
     pub released: u64,
-    /// Runs that ended with an answer that is kept.
+    /// Runs that ended with a stored answer.
     pub answered: u64,
     /// Runs that ended in doubt.
     pub in_doubt: u64,
     /// Requests that got the answer of the first run, here or at another gateway.
     pub repeated: u64,
-    /// Questions of other gateways.
+    /// Queries of other gateways.
     pub recalls: u64,
-    /// Answers that were dropped before their time, for want of space.
+    /// Answers that were dropped early for lack of space.
     pub dropped: u64,
 }
 
-/// The table. Times are ms of the program's clock.
+/// The table of operations. Times are ms of the process clock.
 #[derive(Debug, Clone)]
 pub struct OperationTable {
     host: Ipv4Addr,
-    life: u64,
+    incarnation: u64,
     next_number: u64,
-    remembered_ms: f64,
-    most_kept_bytes: usize,
+    retention_ms: f64,
+    max_answer_bytes: usize,
     records: HashMap<OperationId, Record>,
-    /// Ended claims in the order of their ends, for forgetting them; an entry that is no longer current has no effect.
+    /// Ended claims in the order in which they ended, for their expiry. An outdated entry has no effect.
     ended: VecDeque<(OperationId, u64)>,
-    /// Kept answers, the oldest first; an entry that is no longer current has no effect.
-    kept: VecDeque<(OperationId, u64)>,
-    kept_bytes: usize,
-    kept_answers: usize,
+    /// Claims with a stored answer, the oldest first. An outdated entry has no effect.
+    stored: VecDeque<(OperationId, u64)>,
+    answer_bytes: usize,
+    answer_count: usize,
     counts: OperationCounts,
 }
 
 impl OperationTable {
-    /// A table of the process of this life on this host; repeats come within `window_ms`.
-    pub fn new(host: Ipv4Addr, life: u64, window_ms: f64) -> OperationTable {
+    /// A table for this incarnation of the process on this host. Repeats arrive within `window_ms`.
+    pub fn new(host: Ipv4Addr, incarnation: u64, window_ms: f64) -> OperationTable {
         OperationTable {
             host,
-            life,
+            incarnation,
             next_number: 1,
-            remembered_ms: window_ms + BEYOND_WINDOW_MS,
-            most_kept_bytes: MAX_ANSWER_BYTES,
+            retention_ms: window_ms + EXTRA_RETENTION_MS,
+            max_answer_bytes: MAX_ANSWER_BYTES,
             records: HashMap::new(),
             ended: VecDeque::new(),
-            kept: VecDeque::new(),
-            kept_bytes: 0,
-            kept_answers: 0,
+            stored: VecDeque::new(),
+            answer_bytes: 0,
+            answer_count: 0,
             counts: OperationCounts::default(),
         }
     }
 
-    /// The same with another bound of the bytes of kept answers.
-    pub fn with_max_answer_bytes(self, most_kept_bytes: usize) -> OperationTable {
-        OperationTable { most_kept_bytes, ..self }
+    /// Changes the limit on the bytes of stored answers.
+    pub fn with_max_answer_bytes(self, max_answer_bytes: usize) -> OperationTable {
+        OperationTable { max_answer_bytes, ..self }
     }
 
-    /// What has been seen since the start.
+    /// Counts since the start.
     pub fn counts(&self) -> OperationCounts {
         self.counts
     }
 
-    /// Operations that are remembered, answers that are kept, and their bytes.
+    /// Number of operations in the table, number of stored answers, and the bytes of these answers.
     pub fn usage(&self) -> (usize, usize, usize) {
-        (self.records.len(), self.kept_answers, self.kept_bytes)
+        (self.records.len(), self.answer_count, self.answer_bytes)
     }
 
-    /// A request under a key: what it may do.
-    pub fn begin(&mut self, now: f64, operation: OperationId, request: u64) -> BeginResult {
-        self.forget(now);
-        let (mut first, mut released) = (self.next_number, None);
+    /// Begins a request of an operation and returns how to proceed with it.
+    pub fn begin(&mut self, now: f64, operation: OperationId, request_digest: u64) -> BeginResult {
+        self.expire(now);
+        let (mut first_number, mut released) = (self.next_number, None);
         if let Some(record) = self.records.get(&operation) {
-            if record.request != request && !matches!(record.state, State::Released) {
+            if record.request_digest != request_digest && !matches!(record.state, State::Released) {
                 return BeginResult::OtherRequest;
             }
             match &record.state {
@@ -231,7 +234,7 @@
                     return BeginResult::Answered(answer.clone());
                 }
                 State::Released => {
-                    first = record.first;
+                    first_number = record.first_number;
                     released = Some(self.claimant(record.number));
                 }
             }
@@ -241,80 +244,83 @@
         let number = self.next_number;
         self.next_number += 1;
         self.counts.claims += 1;
-        self.records
-            .insert(operation, Record { first, number, request, state: State::InProgress, since: now });
+        self.records.insert(
+            operation,
+            Record { first_number, number, request_digest, state: State::InProgress, since: now },
+        );
         BeginResult::Claim { claimant: self.claimant(number), released }
     }
 
     fn claimant(&self, number: u64) -> Claimant {
-        Claimant { host: self.host, incarnation: self.life, number }
+        Claimant { host: self.host, incarnation: self.incarnation, number }
     }
 
-    /// This claim ended before a server was asked, or each server vouched for not having run it.
+    /// Records that this claim ended before a send to a server, or that each server stated that it has not run the
+    /// operation.
     pub fn release(&mut self, now: f64, operation: OperationId, number: u64) {
         if self.end(now, operation, number, State::Released) {
             self.counts.released += 1;
         }
     }
 
-    /// This claim's run ended with an answer.
+    /// Records that this claim's run ended with an answer.
     pub fn record_answer(&mut self, now: f64, operation: OperationId, number: u64, answer: StoredAnswer) {
-        let bytes = answer.bytes();
+        let bytes = answer.size_bytes();
         if !self.end(now, operation, number, State::Answered(Rc::new(answer))) {
             return;
         }
         self.counts.answered += 1;
-        self.kept_answers += 1;
-        self.kept_bytes += bytes;
-        self.kept.push_back((operation, number));
-        while self.kept_bytes > self.most_kept_bytes {
-            let Some((operation, number)) = self.kept.pop_front() else { break };
+        self.answer_count += 1;
+        self.answer_bytes += bytes;
+        self.stored.push_back((operation, number));
+        while self.answer_bytes > self.max_answer_bytes {
+            let Some((operation, number)) = self.stored.pop_front() else { break };
             self.drop_answer(operation, number);
         }
     }
 
-    /// Nobody knows whether this claim's run took place, or its answer can't be kept.
+    /// Records that it is unknown whether this claim's operation has run, or that its answer can't be stored.
     pub fn mark_in_doubt(&mut self, now: f64, operation: OperationId, number: u64) {
         if self.end(now, operation, number, State::InDoubt) {
             self.counts.in_doubt += 1;
         }
     }
 
-    /// `false`: this claim has ended before.
+    /// Ends a claim; `false`: it has ended before.
     fn end(&mut self, now: f64, operation: OperationId, number: u64, state: State) -> bool {
         let record = self.records.get_mut(&operation);
-        let at_work =
+        let in_progress =
             record.filter(|record| record.number == number && matches!(record.state, State::InProgress));
-        let Some(record) = at_work else { return false };
+        let Some(record) = in_progress else { return false };
         (record.state, record.since) = (state, now);
         self.ended.push_back((operation, number));
         true
     }
 
-    /// Its operation is in doubt for repeats from now on.
+    /// Drops a stored answer. The operation is in doubt from then on.
     fn drop_answer(&mut self, operation: OperationId, number: u64) {
         let record = self.records.get_mut(&operation).filter(|record| record.number == number);
         let Some(record) = record else { return };
         let State::Answered(answer) = &record.state else { return };
-        self.kept_bytes -= answer.bytes();
-        self.kept_answers -= 1;
+        self.answer_bytes -= answer.size_bytes();
+        self.answer_count -= 1;
         self.counts.dropped += 1;
         record.state = State::InDoubt;
     }
 
-    /// Another gateway asks what became of a claim.
+    /// Answers another gateway's query for the outcome of a claim.
     pub fn recall(&mut self, now: f64, call: &RecallCall) -> RecallAnswer {
-        self.forget(now);
+        self.expire(now);
         self.counts.recalls += 1;
         self.lookup(call)
     }
 
-    /// What became of a claim.
+    /// The outcome of a claim.
     pub fn lookup(&self, call: &RecallCall) -> RecallAnswer {
-        let RecallCall { operation, claimant, request_digest: request } = call;
+        let RecallCall { operation, claimant, request_digest } = call;
         let record = self.records.get(operation).filter(|_| self.is_own_claim(claimant));
         let Some(record) = record else { return RecallAnswer::InDoubt };
-        if (record.first..record.number).contains(&claimant.number) {
+        if (record.first_number..record.number).contains(&claimant.number) {
             return RecallAnswer::Released;
         }
         if record.number != claimant.number {
@@ -322,44 +328,44 @@
         }
         match &record.state {
             State::Released => RecallAnswer::Released,
-            _ if record.request != *request => RecallAnswer::OtherRequest,
+            _ if record.request_digest != *request_digest => RecallAnswer::OtherRequest,
             State::InProgress => RecallAnswer::InProgress,
             State::InDoubt => RecallAnswer::InDoubt,
             State::Answered(answer) => RecallAnswer::Answered(answer.to_message()),
         }
     }
 
-    /// This process made the claim.
+    /// Whether this process made the claim.
     pub fn is_own_claim(&self, claimant: &Claimant) -> bool {
-        (claimant.host, claimant.incarnation) == (self.host, self.life)
+        (claimant.host, claimant.incarnation) == (self.host, self.incarnation)
     }
 
-    /// A request here got an answer that another gateway keeps.
+    /// Counts a request that got an answer stored by another gateway.
     pub fn record_repeat(&mut self) {
         self.counts.repeated += 1;
     }
 
-    /// Forgets what ended too long ago for a repeat.
-    fn forget(&mut self, now: f64) {
+    /// Removes operations that ended too long ago to be repeated.
+    fn expire(&mut self, now: f64) {
         while let Some((operation, number)) = self.ended.front().copied() {
             if let Some(record) = self.records.get(&operation).filter(|record| record.number == number) {
-                if now < record.since + self.remembered_ms {
+                if now < record.since + self.retention_ms {
                     return;
                 }
                 if let State::Answered(answer) = &record.state {
-                    self.kept_bytes -= answer.bytes();
-                    self.kept_answers -= 1;
+                    self.answer_bytes -= answer.size_bytes();
+                    self.answer_count -= 1;
                 }
                 self.records.remove(&operation);
             }
             self.ended.pop_front();
         }
-        while self.kept.front().is_some_and(|(operation, number)| !self.keeps(operation, *number)) {
-            self.kept.pop_front();
+        while self.stored.front().is_some_and(|(operation, number)| !self.has_answer(operation, *number)) {
+            self.stored.pop_front();
         }
     }
 
-    fn keeps(&self, operation: &OperationId, number: u64) -> bool {
+    fn has_answer(&self, operation: &OperationId, number: u64) -> bool {
         let record = self.records.get(operation).filter(|record| record.number == number);
         record.is_some_and(|record| matches!(record.state, State::Answered(_)))
     }
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -308,7 +308,7 @@
         let book = self.shared.book.borrow();
         let fit = |upstream: &&Upstream| {
             let permits = book.permits.get(&upstream.id);
-            let ready = !upstream.cold || permits.is_some_and(|permits| permits.ready(now as u64));
+            let ready = !upstream.cold || permits.is_some_and(|permits| permits.is_ready(now as u64));
             let itself = book.misdirected.get(&upstream.id).is_none_or(|until| now >= *until);
             *upstream.backend == *lane.backend && ready && itself
         };
@@ -389,7 +389,8 @@
     /// When the next cold server may be sent to again, ms.
     fn permit_due(&self) -> f64 {
         let (now, book) = (self.shared.now_ms(), self.shared.book.borrow());
-        let next = book.permits.values().map(SendPacer::next).filter(|next| *next > now && *next < u64::MAX);
+        let next =
+            book.permits.values().map(SendPacer::next_send).filter(|next| *next > now && *next < u64::MAX);
         next.min().map_or(f64::INFINITY, |next| next as f64)
     }
 
@@ -581,7 +582,7 @@
             load.note(SendCounts::cancel);
             if let Some(at) = further {
                 let mut book = self.shared.book.borrow_mut();
-                book.budgets.get_mut(&load.backend).into_iter().for_each(|budget| budget.unsent(at));
+                book.budgets.get_mut(&load.backend).into_iter().for_each(|budget| budget.cancel_retry(at));
             }
         }
         if ended.outcome == Outcome::CouldNotConnect {
--- a/crates/edge/src/proxy_context.rs
+++ b/crates/edge/src/proxy_context.rs
@@ -87,7 +87,7 @@
         let book = &mut *book;
         let Some(upstream) = book.upstreams.get(server) else { return Err(SendDenial::ServerGone) };
         let cold = upstream.cold;
-        if cold && !book.permits.get(server).is_some_and(|permits| permits.ready(now)) {
+        if cold && !book.permits.get(server).is_some_and(|permits| permits.is_ready(now)) {
             return Err(SendDenial::ColdServer);
         }
         let slack = slack_share(self.tuning.retry_slack, book.gateways.unwrap_or(DEFAULT_GATEWAY_COUNT));
@@ -113,9 +113,9 @@
         if sends == 0 {
             // Once, however many connections fail first: each would add to what may be sent again.
             if !load.counted.replace(true) {
-                budget.first(now);
+                budget.record_first_send(now);
             }
-        } else if budget.repeat(now) {
+        } else if budget.try_retry(now) {
             further = Some(now);
         } else {
             self.count(|counts| counts.denied += 1);
@@ -123,7 +123,7 @@
         }
         if cold {
             book.permits.get_mut(server).into_iter().for_each(|permits| {
-                permits.take(now);
+                permits.try_send(now);
             });
             self.cold_used.set(true);
         }
--- a/crates/edge/src/resolve.rs
+++ b/crates/edge/src/resolve.rs
@@ -1,4 +1,4 @@
-//! `/-/resolve`: where a client is to go.
+//! `/-/resolve`: the gateways that a client should connect to.
 
 use crate::link::Link;
 use nickeljunction_messages::GatewayInfo;
@@ -7,17 +7,17 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// See the module.
+/// Answers with the gateways that are near to a client.
 pub struct ResolveResource {
     link: Rc<Link>,
-    dice: RefCell<fastrand::Rng>,
+    random: RefCell<fastrand::Rng>,
     ttl_s: f64,
 }
 
 impl ResolveResource {
-    /// The directory; its answers are kept for `ttl_s`.
+    /// A resource whose answers clients may cache for `ttl_s`.
     pub fn new(link: Rc<Link>, seed: u64, ttl_s: f64) -> ResolveResource {
-        ResolveResource { link, dice: RefCell::new(fastrand::Rng::with_seed(seed)), ttl_s }
+        ResolveResource { link, random: RefCell::new(fastrand::Rng::with_seed(seed)), ttl_s }
     }
 }
 
@@ -27,21 +27,21 @@
             if call.method != "GET" {
                 return Response::error(405, "wants GET").with("Allow", "GET");
             }
-            let asked = |name: &str| {
+            let parameter = |name: &str| {
                 let pairs = call.query().split('&').filter_map(|pair| pair.split_once('='));
                 let mut values =
                     pairs.filter(|(key, _)| *key == name).map(|(_, value)| percent_decoded(value));
                 values.next().unwrap_or_default()
             };
-            let (region, zone) = (asked("region"), asked("zone"));
-            let homes = self.link.host_homes(&asked("name"));
+            let (region, zone) = (parameter("region"), parameter("zone"));
+            let homes = self.link.host_homes(&parameter("name"));
             let client = Client { region: &region, zone: &zone, homes: homes.as_deref() };
-            let dice = self.dice.borrow_mut().u64(..);
-            let mut roster = self.link.roster();
+            let random = self.random.borrow_mut().u64(..);
+            let mut gateways = self.link.roster();
             if self.link.out_of_touch() {
-                roster = Rc::new(others(&roster, self.link.name()));
+                gateways = Rc::new(others(&gateways, self.link.name()));
             }
-            let addresses = nearby_gateways(&roster, &client, self.link.zones(), dice);
+            let addresses = nearby_gateways(&gateways, &client, self.link.zones(), random);
             if addresses.is_empty() {
                 return Response::error(503, "no gateway is known here yet").with("Retry-After", "0.3");
             }
@@ -51,11 +51,11 @@
     }
 }
 
-/// All gateways but the one of this name; all of them where it is the only one.
-fn others(roster: &[GatewayInfo], name: &str) -> Vec<GatewayInfo> {
-    let others: Vec<_> = roster.iter().filter(|line| line.name != name).cloned().collect();
+/// All gateways except the one of this name, or this one if there are no others.
+fn others(gateways: &[GatewayInfo], name: &str) -> Vec<GatewayInfo> {
+    let others: Vec<_> = gateways.iter().filter(|gateway| gateway.name != name).cloned().collect();
     match others.is_empty() {
-        true => roster.to_vec(),
+        true => gateways.to_vec(),
         false => others,
     }
 }
@@ -65,18 +65,18 @@
     use super::*;
 
     #[test]
-    fn a_gateway_out_of_touch_names_the_others_and_itself_only_if_there_are_none() {
-        let line = |name: &str| GatewayInfo {
+    fn the_own_gateway_is_left_out_unless_it_is_the_only_one() {
+        let gateway = |name: &str| GatewayInfo {
             name: name.into(),
             zone: "z".into(),
             front: format!("{name}:1"),
             ready: true,
         };
-        let named = |roster: &[GatewayInfo]| {
-            let names = others(roster, "g1").into_iter().map(|line| line.name);
+        let names = |gateways: &[GatewayInfo]| {
+            let names = others(gateways, "g1").into_iter().map(|gateway| gateway.name);
             names.collect::<Vec<_>>()
         };
-        assert_eq!(named(&[line("g1"), line("g2"), line("g3")]), ["g2", "g3"]);
-        assert_eq!(named(&[line("g1")]), ["g1"]);
+        assert_eq!(names(&[gateway("g1"), gateway("g2"), gateway("g3")]), ["g2", "g3"]);
+        assert_eq!(names(&[gateway("g1")]), ["g1"]);
     }
 }
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -1,4 +1,5 @@
-//! What the decision module is told of a service's servers: its settings, and each server as this gateway sees it.
+//! Inputs of the decision module for a service: its settings, and an entry for each server from this gateway's point of
+//! view.
 
 use crate::figures::Tuning;
 use crate::preference;
@@ -6,13 +7,13 @@
 use nickeljunction_core::facade::{Class, Plan, RegionEntry, RegionState, Settings};
 use std::collections::HashSet;
 
-/// The module's settings for requests of these classes; `subset_least`: see [`FleetLayout::subset_least`].
+/// The module's settings for requests of these classes; for `min_subset` see [`FleetLayout::min_subset_size`].
 pub fn decision_settings(
     tuning: &Tuning,
     here: &Location,
     classes: Vec<Class>,
     max_attempts: u32,
-    subset_least: f64,
+    min_subset: f64,
 ) -> Settings {
     let plan = Plan {
         name: String::new(),
@@ -27,13 +28,14 @@
         ceiling_slack: 0.0,
     };
     Settings {
-        // To the module this gateway is alone: with siblings it sheds by how late answers are against their aim,
-        // which took a fifth of a day's requests for servers that were busy by half.
+        // The module is configured as if there were no other gateway. With several gateways it sheds load by how late
+        // answers are against their target latency, which refused a fifth of a day's requests while the servers were
+        // half busy.
         gateway_index: 0,
         gateway_count: 1,
         zone: here.zone.clone(),
         step_ms: tuning.step_ms,
-        min_subset: subset_least,
+        min_subset,
         classes,
         plans: vec![plan],
         max_request_units: 1.0,
@@ -47,7 +49,7 @@
     }
 }
 
-/// A server that may be sent to.
+/// The entry of a server that requests may be sent to.
 pub fn ready_entry(upstream: &Upstream, here: &Location, weight: f64) -> RegionEntry {
     RegionEntry {
         uid: upstream.id.clone(),
@@ -62,7 +64,8 @@
     }
 }
 
-/// A server that gets nothing new: one still listed completes what it has, any other is gone.
+/// The entry of a server that gets no new requests: a server that is still listed completes those it has, any other is
+/// gone.
 pub fn withdrawn_entry(id: &str, listed: Option<&Upstream>, weight: f64) -> RegionEntry {
     RegionEntry {
         uid: id.to_string(),
@@ -77,7 +80,8 @@
     }
 }
 
-/// How the gateways are spread, as far as one of them can tell: evenly over the zones that have servers.
+/// How the gateways are distributed. One gateway can't see the others, so it assumes them evenly spread over the zones that
+/// have servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetLayout {
     gateways: f64,
@@ -86,36 +90,36 @@
 }
 
 impl FleetLayout {
-    /// `gateways` in all, among these servers of all services.
+    /// The layout of `gateways` gateways, given the servers of all services.
     pub fn new<'a>(gateways: u32, servers: impl Iterator<Item = &'a Upstream>) -> FleetLayout {
         let (mut zones, mut regions) = (HashSet::new(), HashSet::new());
         for upstream in servers {
             zones.insert(&upstream.zone[..]);
             regions.insert(&upstream.region[..]);
         }
-        let count = |places: HashSet<&str>| places.len().max(1) as f64;
+        let count = |names: HashSet<&str>| names.len().max(1) as f64;
         FleetLayout { gateways: f64::from(gateways.max(1)), zones: count(zones), regions: count(regions) }
     }
 
-    /// Gateways of one region.
+    /// Gateways per region, at least 1.
     pub fn gateways_per_region(&self) -> f64 {
         (self.gateways / self.regions).max(1.0)
     }
 
-    /// Fewest servers that this gateway has to use for all to be used by someone: its share of those of its zone, or
-    /// of its region where the zone has none or not every zone has a gateway.
+    /// Number of servers that this gateway must use so that each server is used by some gateway: its share of the servers
+    /// in its zone, or in its region if the zone has no server or not every zone has a gateway.
     pub fn min_subset_size<'a>(&self, servers: impl Iterator<Item = &'a Upstream>, here: &Location) -> f64 {
-        let (mut zone, mut region, mut all) = (0, 0, 0);
+        let (mut in_zone, mut in_region, mut total) = (0, 0, 0);
         for upstream in servers {
-            all += 1;
-            region += usize::from(upstream.region == here.region);
-            zone += usize::from(upstream.zone == here.zone);
+            total += 1;
+            in_region += usize::from(upstream.region == here.region);
+            in_zone += usize::from(upstream.zone == here.zone);
         }
-        let (servers, gateways) = match (zone, region) {
-            (0, 0) => (all, self.gateways),
-            (0, _) => (region, self.gateways_per_region()),
-            _ if self.gateways < self.zones => (region, self.gateways_per_region()),
-            _ => (zone, self.gateways / self.zones),
+        let (servers, gateways) = match (in_zone, in_region) {
+            (0, 0) => (total, self.gateways),
+            (0, _) => (in_region, self.gateways_per_region()),
+            _ if self.gateways < self.zones => (in_region, self.gateways_per_region()),
+            _ => (in_zone, self.gateways / self.zones),
         };
         preference::min_subset_size(servers, gateways)
     }
--- a/crates/edge/src/shutdown.rs
+++ b/crates/edge/src/shutdown.rs
@@ -1,79 +1,82 @@
 //! The schedule of an orderly shutdown, without I/O: until when servers may work for this process, when the last answer must
-//! be out, and whether a request or a send that would begin now can still end in time.
+//! be written, and whether a request or a send that would begin now can still finish in time.
 //!
 //! ```text
 //! SIGTERM                                       work_until   answers_until   grace_s
-//!    |--- new requests, by what they need -----------|              |            |
+//!    |--- new requests, if they fit -----------------|              |            |
 //!    |--- servers at work -------------------------->|- answers --->|- the end ->|
 //! ```
 //!
-//! Whoever begins work asks first: [`Shutdown::admits_request`] before a request is taken on, [`Shutdown::admits_send`] before
-//! it goes to a server, and [`Shutdown::bound_deadline`] for the time that the server is told. Most servers stop at that time by
-//! themselves and say so. For those that go on nothing is taken on late that could still be at work when the process ends.
+//! The caller checks [`Shutdown::admits_request`] before it accepts a request and [`Shutdown::admits_send`] before it sends
+//! the request to a server, and limits the deadline that the server gets with [`Shutdown::bound_deadline`]. Most servers stop
+//! at their deadline and answer that they did. Because some don't, a late request is not accepted if its server could still
+//! be working when the process ends.
 
-/// Time of the grace that is left for the end itself: giving units back, the last bytes to clients, ms.
-const END_MS: f64 = 650.0;
-/// The way of a server's last answer and of its relay to the client, ms.
-const ANSWER_WAY_MS: f64 = 350.0;
-/// A start of the schedule that is late by no more than this leaves the end enough time, ms.
-const LATE_START_MS: f64 = 200.0;
-/// Requests that come up to so long after the order may still be at work at the process's end, ms: a server may work longer
-/// than it is told. The operators' bound is 3 s after the request was sent; the rest is for its way and a late start.
+/// Time at the end of the grace period for returning quota units and writing the last bytes to clients, ms.
+const FINAL_MS: f64 = 650.0;
+/// Time for a server's last answer to be received and forwarded to the client, ms.
+const ANSWER_RELAY_MS: f64 = 350.0;
+/// A schedule that starts late by no more than this still leaves enough time at the end, ms.
+const TOLERATED_DELAY_MS: f64 = 200.0;
+/// Requests that arrive up to this long after the shutdown order may still be in progress when the process ends, ms, because
+/// a server may work past its deadline. The operators' limit is 3 s after the request was sent; the difference covers the
+/// request's transit and a late start of the schedule.
 const LONG_WORK_MS: f64 = 2_800.0;
-/// At most this part of the time for work is asked for a request, however long its route lets it take: it can be served
-/// within that by nearly any server, and is told to stop if it can't.
-const NEED_MOST: f64 = 0.5;
-/// A send needs this part of what its request needed: some of that time has gone by, and most work is shorter.
-const SEND_NEEDS: f64 = 0.5;
+/// A request is assumed to need at most this part of the time for work, however long its route lets it take: nearly any
+/// server can answer within that time, and is told to stop if it can't.
+const MAX_NEEDED_PART: f64 = 0.5;
+/// A send is assumed to need this part of what its request needed: some of that time has passed, and most requests take
+/// less.
+const SEND_NEEDED_PART: f64 = 0.5;
 
-/// When the parts of an orderly shutdown end, ms of the program's clock.
+/// When the phases of an orderly shutdown end, ms of the process clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shutdown {
-    /// When the order was learnt of.
+    /// When this process learned of the shutdown order.
     pub began: f64,
-    /// The last moment at which a server may be at work on a request that went to it after the order.
+    /// The last moment at which a server may work on a request that was sent to it after the order.
     pub work_until: f64,
-    /// When every answer must be on its way.
+    /// When every answer must be on its way to the client.
     pub answers_until: f64,
-    /// A request that comes later is only taken on if its client stops waiting before `answers_until`.
+    /// A request that arrives later is accepted only if its client's deadline is before `answers_until`.
     long_work_until: f64,
 }
 
 impl Shutdown {
-    /// A shutdown that begins now. The process is killed `grace_ms` after the order, which may have come up to `late_ms` ago:
-    /// a process without processor time learns of it late, but the platform's clock runs.
+    /// A shutdown that begins now. The process is killed `grace_ms` after the order, which may have been given up to
+    /// `late_ms` ago: a process that gets no CPU time learns of the order late, while the platform's clock runs.
     pub fn begin(now: f64, late_ms: f64, grace_ms: f64) -> Shutdown {
-        let lost_ms = (late_ms - LATE_START_MS).max(0.0);
-        let answers_until = now + (grace_ms - lost_ms - END_MS).max(0.0);
-        let work_until = (answers_until - ANSWER_WAY_MS).max(now);
+        let lost_ms = (late_ms - TOLERATED_DELAY_MS).max(0.0);
+        let answers_until = now + (grace_ms - lost_ms - FINAL_MS).max(0.0);
+        let work_until = (answers_until - ANSWER_RELAY_MS).max(now);
         let long_work_until = now - lost_ms + LONG_WORK_MS;
         Shutdown { began: now, work_until, answers_until, long_work_until }
     }
 
-    /// May a request be taken on now that came at `arrived`, is worth most when answered within `aim_ms`, and whose client
-    /// stops waiting at `deadline`?
-    pub fn admits_request(&self, now: f64, arrived: f64, aim_ms: f64, deadline: f64) -> bool {
-        let ends = arrived <= self.long_work_until || deadline <= self.answers_until;
-        ends && now + self.need_ms(aim_ms) <= self.work_until
+    /// Whether a request may be accepted now that arrived at `arrived`, is worth most if answered within
+    /// `target_latency_ms`, and whose client stops waiting at `deadline`.
+    pub fn admits_request(&self, now: f64, arrived: f64, target_latency_ms: f64, deadline: f64) -> bool {
+        let ends_in_time = arrived <= self.long_work_until || deadline <= self.answers_until;
+        ends_in_time && now + self.needed_ms(target_latency_ms) <= self.work_until
     }
 
-    /// May such a request go to a server now, for the first time or once more?
-    pub fn admits_send(&self, now: f64, aim_ms: f64) -> bool {
-        now + self.need_ms(aim_ms) * SEND_NEEDS <= self.work_until
+    /// Whether such a request may be sent to a server now, for the first time or again.
+    pub fn admits_send(&self, now: f64, target_latency_ms: f64) -> bool {
+        now + self.needed_ms(target_latency_ms) * SEND_NEEDED_PART <= self.work_until
     }
 
-    /// The time at which a server is told to stop, for a request whose client stops waiting at `deadline`.
+    /// The deadline that a server gets for a request whose client stops waiting at `deadline`.
     pub fn bound_deadline(&self, deadline: f64) -> f64 {
         deadline.min(self.work_until)
     }
 
-    /// How long a request that has waited since `arrived` may be held, where its client would wait `patience_ms`.
+    /// The time-out of a request that arrived at `arrived` and whose client would wait `patience_ms`.
     pub fn bound_patience(&self, arrived: f64, patience_ms: f64) -> f64 {
         patience_ms.min(self.answers_until - arrived)
     }
 
-    fn need_ms(&self, aim_ms: f64) -> f64 {
-        aim_ms.min((self.work_until - self.began) * NEED_MOST)
+    fn needed_ms(&self, target_latency_ms: f64) -> f64 {
+        target_latency_ms.min((self.work_until - self.began) * MAX_NEEDED_PART)
     }
 }
 
@@ -84,26 +87,26 @@
     const GRACE_MS: f64 = 6_000.0;
 
     #[test]
-    fn what_begins_can_end_and_what_is_told_to_servers_ends_before_the_process() {
+    fn requests_are_admitted_as_long_as_they_fit_into_the_time_for_work() {
         for began in [0.0, 12_345.0] {
             let shutdown = Shutdown::begin(began, 0.0, GRACE_MS);
             assert_eq!((shutdown.work_until, shutdown.answers_until), (began + 5_000.0, began + 5_350.0));
-            for aim_ms in [1.0, 400.0, 800.0, 1_200.0, 2_000.0, 30_000.0] {
+            for target_ms in [1.0, 400.0, 800.0, 1_200.0, 2_000.0, 30_000.0] {
                 let times = (0..6_000).map(|after| began + f64::from(after));
                 let admitted: Vec<f64> =
-                    times.filter(|now| shutdown.admits_request(*now, *now, aim_ms, *now)).collect();
+                    times.filter(|now| shutdown.admits_request(*now, *now, target_ms, *now)).collect();
                 let last = admitted.last().copied().unwrap_or(f64::NEG_INFINITY);
-                assert!(last + aim_ms.min(2_500.0) <= shutdown.work_until, "aim {aim_ms}: {last}");
-                // All of the time before that is used, and a request that was taken on can be sent.
-                assert_eq!(last, shutdown.work_until - aim_ms.min(2_500.0));
-                assert!(shutdown.admits_send(last + aim_ms.min(2_500.0) / 2.0, aim_ms));
-                assert!(!shutdown.admits_send(shutdown.work_until, aim_ms));
+                assert!(last + target_ms.min(2_500.0) <= shutdown.work_until, "target {target_ms}: {last}");
+                // Requests are admitted up to that moment, and an admitted request can be sent.
+                assert_eq!(last, shutdown.work_until - target_ms.min(2_500.0));
+                assert!(shutdown.admits_send(last + target_ms.min(2_500.0) / 2.0, target_ms));
+                assert!(!shutdown.admits_send(shutdown.work_until, target_ms));
             }
         }
     }
 
     #[test]
-    fn no_deadline_lies_after_the_end_and_shorter_ones_stay() {
+    fn deadlines_are_cut_at_the_schedule_and_shorter_ones_stay() {
         let shutdown = Shutdown::begin(1_000.0, 0.0, GRACE_MS);
         assert_eq!(shutdown.bound_deadline(3_000.0), 3_000.0);
         assert_eq!(shutdown.bound_deadline(9_000.0), shutdown.work_until);
@@ -114,7 +117,7 @@
     }
 
     #[test]
-    fn what_comes_late_is_begun_only_if_its_client_stops_waiting_before_the_end() {
+    fn late_requests_are_admitted_only_with_a_deadline_before_the_end() {
         let shutdown = Shutdown::begin(0.0, 0.0, GRACE_MS);
         for patience_ms in [500.0, 1_500.0, 3_000.0, 60_000.0] {
             for now in (0..6_000).map(f64::from).filter(|now| *now > LONG_WORK_MS) {
@@ -122,7 +125,7 @@
                 assert!(
                     !shutdown.admits_request(now, now, 100.0, deadline) || deadline <= shutdown.answers_until
                 );
-                // It came in time and was held since.
+                // It arrived in time and was delayed since.
                 assert_eq!(shutdown.admits_request(now, 1_000.0, 100.0, deadline), now <= 4_900.0);
             }
             assert!(shutdown.admits_request(LONG_WORK_MS, LONG_WORK_MS, 100.0, 90_000.0));
@@ -131,21 +134,22 @@
     }
 
     #[test]
-    fn a_schedule_that_begins_late_ends_before_the_kill_all_the_same() {
-        let ordered = 1_000.0;
+    fn a_schedule_that_starts_late_still_ends_before_the_kill() {
+        let ordered_at = 1_000.0;
         for late_ms in (0..6_000).map(f64::from) {
-            let shutdown = Shutdown::begin(ordered + late_ms, late_ms, GRACE_MS);
-            let end = ordered + GRACE_MS - END_MS + LATE_START_MS;
-            assert!(shutdown.answers_until <= end.max(ordered + late_ms), "{late_ms}");
+            let shutdown = Shutdown::begin(ordered_at + late_ms, late_ms, GRACE_MS);
+            let end = ordered_at + GRACE_MS - FINAL_MS + TOLERATED_DELAY_MS;
+            assert!(shutdown.answers_until <= end.max(ordered_at + late_ms), "{late_ms}");
             assert!(
-                late_ms > LATE_START_MS || shutdown.answers_until == ordered + late_ms + GRACE_MS - END_MS
+                late_ms > TOLERATED_DELAY_MS
+                    || shutdown.answers_until == ordered_at + late_ms + GRACE_MS - FINAL_MS
             );
             assert!(shutdown.began <= shutdown.work_until && shutdown.work_until <= shutdown.answers_until);
         }
     }
 
     #[test]
-    fn without_grace_nothing_begins() {
+    fn nothing_is_admitted_without_a_grace_period() {
         for grace_ms in [0.0, 500.0, 900.0] {
             let shutdown = Shutdown::begin(7.0, 0.0, grace_ms);
             assert!(shutdown.work_until <= shutdown.answers_until);
