--- a/crates/edge/src/proxy_context.rs
+++ b/crates/edge/src/proxy_context.rs
@@ -1,6 +1,6 @@
-//! What all lanes of a gateway share: the servers and services it knows, and what a send needs before it may begin.
+//! State that all lanes of a gateway share: the known servers and services, and the checks before a send.
 
-use crate::attempt::Load;
+use crate::attempt::PendingRequest;
 use crate::budget::{slack_share, RetryBudget, SendPacer, DEFAULT_GATEWAY_COUNT};
 use crate::exchange::Admission;
 use crate::exchange_state::SendDenial;
@@ -14,119 +14,129 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
 
-/// What all lanes share.
-pub(crate) struct Shared {
+/// State that all lanes share.
+pub(crate) struct ProxyContext {
     pub(crate) pool: Rc<Pool>,
     pub(crate) wheel: Wheel,
     pub(crate) tuning: Tuning,
     pub(crate) here: Location,
-    pub(crate) book: RefCell<Book>,
+    pub(crate) fleet: RefCell<FleetState>,
     pub(crate) counts: Cell<Counts>,
-    /// A cold server's permit has been used since the tables were last told.
-    pub(crate) cold_used: Cell<bool>,
-    /// The schedule of the shutdown, once the order to leave has come.
+    /// A send to a cold server has been counted since the decision cores' tables were last updated.
+    pub(crate) cold_server_used: Cell<bool>,
+    /// The schedule of the shutdown, once it has begun.
     pub(crate) shutdown: Cell<Option<Shutdown>>,
-    /// Who has units for further sends; nobody counts them before it is set.
-    pub(crate) units: RefCell<Option<Weak<dyn Admission>>>,
+    /// Source of quota units for retries; until it is set they need none.
+    pub(crate) admission: RefCell<Option<Weak<dyn Admission>>>,
 }
 
-/// What is known of servers and services.
+/// What is known about servers, services and gateways.
 #[derive(Default)]
-pub(crate) struct Book {
+pub(crate) struct FleetState {
     pub(crate) upstreams: BTreeMap<String, Upstream>,
     pub(crate) backends: HashMap<String, Backend>,
+    /// Number of gateways, once the core has reported it.
     pub(crate) gateways: Option<u32>,
+    /// Retry budgets by service.
     pub(crate) budgets: HashMap<Rc<str>, RetryBudget>,
-    pub(crate) permits: HashMap<String, SendPacer>,
-    /// Servers that said they are others, and until when they are left out, ms.
+    /// Pacers of the cold servers.
+    pub(crate) pacers: HashMap<String, SendPacer>,
+    /// Servers that stated that they are another instance, and until when they are excluded, ms.
     pub(crate) misdirected: HashMap<String, f64>,
-    /// Servers to which no connection came about lately, and until when their slots don't count, ms.
-    pub(crate) unreached: HashMap<String, f64>,
+    /// Servers to which connecting failed recently, and until when their slots don't count, ms.
+    pub(crate) unreachable: HashMap<String, f64>,
 }
 
-impl Book {
+impl FleetState {
     /// How the gateways are spread over zones and regions.
-    pub(crate) fn scope(&self) -> FleetLayout {
+    pub(crate) fn layout(&self) -> FleetLayout {
         FleetLayout::new(self.gateways.unwrap_or(1), self.upstreams.values())
     }
 }
 
-impl Shared {
+impl ProxyContext {
     pub(crate) fn now_ms(&self) -> u64 {
         self.wheel.now() as u64
     }
 
     /// How long a server may work on a request from now on, ms.
-    pub(crate) fn left_ms(&self, load: &Load) -> f64 {
+    pub(crate) fn remaining_ms(&self, request: &PendingRequest) -> f64 {
         let deadline = match self.shutdown.get() {
-            Some(shutdown) => shutdown.bound_deadline(load.deadline),
-            None => load.deadline,
+            Some(shutdown) => shutdown.bound_deadline(request.deadline),
+            None => request.deadline,
         };
         deadline - self.wheel.now() - self.tuning.margin_ms
     }
 
-    pub(crate) fn count(&self, change: impl FnOnce(&mut Counts)) {
+    pub(crate) fn update_counts(&self, change: impl FnOnce(&mut Counts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
     }
 
-    /// Takes what a send needs: a cold server's permit, and for a further one a part of the budget. `Some(when)` for a
-    /// further one.
-    pub(crate) fn permit(&self, load: &Load, server: &str) -> Result<Option<u64>, SendDenial> {
+    /// Checks whether a send may start, and takes what it needs: a send of a cold server's pacer, a quota unit, and for a
+    /// retry a part of the retry budget. Returns for a retry when it was counted.
+    pub(crate) fn start_send(
+        &self,
+        request: &PendingRequest,
+        server: &str,
+    ) -> Result<Option<u64>, SendDenial> {
         let now = self.now_ms();
-        let sends = load.sends().begun();
-        load.sends().check_allowed(load.repeat, load.max_attempts)?;
-        if !load.has_body() {
+        let begun = request.sends().begun();
+        request.sends().check_allowed(request.retry_safety, request.max_attempts)?;
+        if !request.has_body() {
             return Err(SendDenial::NoBody);
         }
-        if self.shutdown.get().is_some_and(|shutdown| !shutdown.admits_send(self.wheel.now(), load.aim_ms)) {
+        let is_too_late =
+            |shutdown: Shutdown| !shutdown.admits_send(self.wheel.now(), request.target_latency_ms);
+        if self.shutdown.get().is_some_and(is_too_late) {
             return Err(SendDenial::Shutdown);
         }
-        let mut book = self.book.borrow_mut();
-        let book = &mut *book;
-        let Some(upstream) = book.upstreams.get(server) else { return Err(SendDenial::ServerGone) };
-        let cold = upstream.cold;
-        if cold && !book.permits.get(server).is_some_and(|permits| permits.is_ready(now)) {
+        let mut fleet = self.fleet.borrow_mut();
+        let fleet = &mut *fleet;
+        let Some(upstream) = fleet.upstreams.get(server) else { return Err(SendDenial::ServerGone) };
+        let is_cold = upstream.cold;
+        if is_cold && !fleet.pacers.get(server).is_some_and(|pacer| pacer.is_ready(now)) {
             return Err(SendDenial::ColdServer);
         }
-        let slack = slack_share(self.tuning.retry_slack, book.gateways.unwrap_or(DEFAULT_GATEWAY_COUNT));
-        let budget = book
+        let slack = slack_share(self.tuning.retry_slack, fleet.gateways.unwrap_or(DEFAULT_GATEWAY_COUNT));
+        let budget = fleet
             .budgets
-            .entry(load.backend.clone())
+            .entry(request.backend.clone())
             .or_insert_with(|| RetryBudget::new(self.tuning.retry_window_ms, self.tuning.retry_ratio, slack));
         budget.set_slack(slack);
-        // A unit covers one send, and only for a moment: each server that runs the request counts for its tenant.
-        if sends > 0 || self.wheel.now() > load.unit_valid_until {
-            let units = self.units.borrow().as_ref().and_then(Weak::upgrade);
-            let tenant = load.tenant.as_deref();
-            if let Some((units, tenant)) =
-                units.zip(tenant).filter(|(units, tenant)| !units.take_extra_unit(tenant))
-            {
-                drop(units);
-                self.count(|counts| counts.denied += 1);
+        // A quota unit covers one send, and only for a short time: each server that runs the request counts for its
+        // tenant.
+        if begun > 0 || self.wheel.now() > request.unit_valid_until {
+            let admission = self.admission.borrow().as_ref().and_then(Weak::upgrade);
+            let tenant = request.tenant.as_deref();
+            let denied =
+                admission.zip(tenant).filter(|(admission, tenant)| !admission.take_extra_unit(tenant));
+            if let Some((admission, tenant)) = denied {
+                drop(admission);
+                self.update_counts(|counts| counts.denied += 1);
                 log::debug!("event=send_denied tenant={tenant} why=units");
                 return Err(SendDenial::Units);
             }
         }
-        let mut further = None;
-        if sends == 0 {
-            // Once, however many connections fail first: each would add to what may be sent again.
-            if !load.counted.replace(true) {
+        let mut retry_counted_at = None;
+        if begun == 0 {
+            // Counted once, however many connections fail first, because each count allows more retries.
+            if !request.is_budgeted.replace(true) {
                 budget.record_first_send(now);
             }
         } else if budget.try_retry(now) {
-            further = Some(now);
+            retry_counted_at = Some(now);
         } else {
-            self.count(|counts| counts.denied += 1);
+            self.update_counts(|counts| counts.denied += 1);
             return Err(SendDenial::Budget);
         }
-        if cold {
-            book.permits.get_mut(server).into_iter().for_each(|permits| {
-                permits.try_send(now);
-            });
-            self.cold_used.set(true);
+        if is_cold {
+            if let Some(pacer) = fleet.pacers.get_mut(server) {
+                pacer.try_send(now);
+            }
+            self.cold_server_used.set(true);
         }
-        Ok(further)
+        Ok(retry_counted_at)
     }
 }
--- a/crates/edge/src/tenant_pacing.rs
+++ b/crates/edge/src/tenant_pacing.rs
@@ -1,5 +1,5 @@
-//! Holds requests of tenants whose trial lapsed, as `nickeljunction-pacing` says, and asks the leader for shares of their paces.
-//! Without such a tenant it does nothing.
+//! Delays requests of tenants whose trial has lapsed, as `nickeljunction-pacing` decides, and requests shares of the tenants'
+//! rates from the leader. Does nothing while there is no such tenant.
 
 use crate::link::Link;
 use nickeljunction_messages::{path, PaceSharesAnswer, PaceSharesCall, TrialInfo};
@@ -11,101 +11,105 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Between two calls for shares, ms.
-const ASK_MS: f64 = 500.0;
-/// How long such a call may take, ms.
-const ANSWER_MS: f64 = 300.0;
-/// A client that has less than this part of the longest time that any had on its route has been here before.
-const AGAIN_PART: f64 = 0.93;
-/// Weight of a new time of service against those before.
-const NEW_PART: f64 = 0.1;
-/// A request as it is to be slowed.
+/// Interval between two calls for shares, ms.
+const SHARES_INTERVAL_MS: f64 = 500.0;
+/// Time-out of a call for shares, ms.
+const SHARES_TIMEOUT_MS: f64 = 300.0;
+/// A request with less than this part of the longest client time-out on its route is taken for a retry.
+const RETRY_PART: f64 = 0.93;
+/// Weight of one service time in the mean and in the mean deviation.
+const GAIN: f64 = 0.1;
+
+/// A request that may be delayed.
 #[derive(Debug, Clone, Copy)]
 pub struct PacedRequest<'a> {
     /// Its tenant.
     pub tenant: &'a str,
     /// Its route.
     pub route: &'a str,
-    /// In which order it gives way, see [`Rank::from_gives_way`].
+    /// The order in which requests are delayed, see [`Rank::from_gives_way`].
     pub gives_way: u32,
-    /// Time within which its route's answers earn their full worth, ms.
+    /// An answer within this time earns its full worth, ms.
     pub target_latency_ms: f64,
-    /// What its client said that it waits, ms; infinite where it said nothing.
+    /// The time-out that the client stated, ms; infinite if it stated none.
     pub client_timeout_ms: f64,
-    /// Time that it may be held, ms.
+    /// Longest time that the request may be delayed, ms.
     pub max_delay_ms: f64,
 }
 
-/// What is known of a route, from its requests since a tenant is slowed.
+/// Statistics of a route, from its requests since a tenant is slowed down.
 #[derive(Debug, Clone, Copy, Default)]
-struct Known {
-    /// Longest time that a client had, ms.
-    longest_ms: f64,
-    /// Mean and mean deviation of times of service, ms.
-    served: Option<(f64, f64)>,
+struct RouteStats {
+    /// Longest time-out that a client stated, ms.
+    max_client_timeout_ms: f64,
+    /// Mean and mean deviation of service times, ms; `None` before the first.
+    service_time: Option<(f64, f64)>,
 }
 
-impl Known {
-    fn expected_ms(&self, aim_ms: f64) -> f64 {
-        self.served.map_or(aim_ms / 2.0, |(mean, deviation)| mean + 2.0 * deviation)
+impl RouteStats {
+    fn expected_ms(&self, target_latency_ms: f64) -> f64 {
+        self.service_time.map_or(target_latency_ms / 2.0, |(mean, deviation)| mean + 2.0 * deviation)
     }
 }
 
-/// See the module.
+/// Delays the requests of slowed tenants.
 pub struct TenantPacing {
     wheel: Wheel,
     throttle: RefCell<Throttle>,
-    routes: RefCell<BTreeMap<Box<str>, Known>>,
-    active: Cell<bool>,
-    leaving: Cell<bool>,
-    /// The order to leave came.
-    left: Notify,
-    /// A tenant is slowed that was not before.
-    began: Notify,
+    route_stats: RefCell<BTreeMap<Box<str>, RouteStats>>,
+    is_active: Cell<bool>,
+    is_shutting_down: Cell<bool>,
+    shutdown_began: Notify,
+    /// Notified when the first tenant is slowed down.
+    activated: Notify,
     seq: Cell<u64>,
 }
 
-/// A request that is held; dropping it ends that, also where its client has gone.
-struct Held<'a>(&'a TenantPacing, &'a str);
+/// A request that is being delayed. Dropping this ends the delay, also when the client has disconnected.
+struct DelayGuard<'a> {
+    pacing: &'a TenantPacing,
+    tenant: &'a str,
+}
 
-impl Drop for Held<'_> {
+impl Drop for DelayGuard<'_> {
     fn drop(&mut self) {
-        self.0.throttle.borrow_mut().end_delay(self.1);
+        self.pacing.throttle.borrow_mut().end_delay(self.tenant);
     }
 }
 
 impl TenantPacing {
-    /// Nobody is slowed yet.
+    /// Starts without a slowed tenant.
     pub fn new(wheel: Wheel) -> TenantPacing {
         TenantPacing {
             wheel,
             throttle: RefCell::default(),
-            routes: RefCell::default(),
-            active: Cell::new(false),
-            leaving: Cell::new(false),
-            left: Notify::new(),
-            began: Notify::new(),
+            route_stats: RefCell::default(),
+            is_active: Cell::new(false),
+            is_shutting_down: Cell::new(false),
+            shutdown_began: Notify::new(),
+            activated: Notify::new(),
             seq: Cell::new(0),
         }
     }
 
-    /// Some tenant is slowed, or its last wait runs off.
+    /// Whether a tenant is slowed down, or requests of one are still being delayed.
     pub fn is_active(&self) -> bool {
-        self.active.get()
+        self.is_active.get()
     }
 
-    /// Trials as the leader told them just now, by the configuration in force.
+    /// Takes the states of the trials that the leader has just sent. Their schedules come from `config`, the current
+    /// configuration.
     pub fn update_trials(&self, trials: &[TrialInfo], config: Option<&Config>) {
         let now = self.wheel.now();
         let mut throttle = self.throttle.borrow_mut();
-        for line in trials {
-            if throttle.set_stage(now, &line.tenant, line.step, line.stage, line.in_ms as f64) {
+        for trial in trials {
+            if throttle.set_stage(now, &trial.tenant, trial.step, trial.stage, trial.in_ms as f64) {
                 log::info!(
                     "event=trial tenant={:?} step={} stage={} in_ms={}",
-                    line.tenant,
-                    line.step,
-                    line.stage,
-                    line.in_ms
+                    trial.tenant,
+                    trial.step,
+                    trial.stage,
+                    trial.in_ms
                 );
             }
         }
@@ -113,111 +117,113 @@
         if let Some(config) = config {
             self.update_config(config);
         }
-        self.look();
+        self.update_active();
     }
 
-    /// Another configuration is in force.
+    /// Takes the stage schedules of a new configuration.
     pub fn update_config(&self, config: &Config) {
-        let known = |tenant: &str| config.tenants.contains_key(tenant);
+        let is_known = |tenant: &str| config.tenants.contains_key(tenant);
         self.throttle
             .borrow_mut()
-            .set_schedules(|tenant| known(tenant).then(|| StageSchedule::for_tenant(config, tenant)));
+            .set_schedules(|tenant| is_known(tenant).then(|| StageSchedule::for_tenant(config, tenant)));
     }
 
-    fn look(&self) {
-        let active = self.throttle.borrow().is_throttling(self.wheel.now());
-        if !active {
-            self.routes.borrow_mut().clear();
+    fn update_active(&self) {
+        let is_active = self.throttle.borrow().is_throttling(self.wheel.now());
+        if !is_active {
+            self.route_stats.borrow_mut().clear();
         }
-        if active && !self.active.replace(active) {
-            self.began.notify_one();
+        if is_active && !self.is_active.replace(is_active) {
+            self.activated.notify_one();
         }
-        self.active.set(active);
+        self.is_active.set(is_active);
     }
 
-    /// The order to leave: what is held goes on at once, and nothing is held any more. What is taken must be answered in time.
+    /// Begins the shutdown: delayed requests go on at once and no request is delayed any more, because every accepted
+    /// request must be answered before the process ends.
     pub fn begin_shutdown(&self) {
-        self.leaving.set(true);
-        self.left.notify_waiters();
+        self.is_shutting_down.set(true);
+        self.shutdown_began.notify_waiters();
     }
 
-    /// Holds a request for as long as its tenant is slowed.
+    /// Delays a request as its tenant's pace requires.
     ///
     /// # Errors
-    /// It would be too late: when its client is to come back, ms.
-    pub async fn admit(&self, slow: PacedRequest<'_>) -> Result<(), f64> {
+    /// The request can't be sent within its time. Holds the time after which its client should retry, ms.
+    pub async fn admit(&self, request: PacedRequest<'_>) -> Result<(), f64> {
         let now = self.wheel.now();
-        let (again, expected_ms) = {
-            let mut routes = self.routes.borrow_mut();
-            if !routes.contains_key(slow.route) {
-                routes.insert(slow.route.into(), Known::default());
+        let (is_retry, expected_ms) = {
+            let mut route_stats = self.route_stats.borrow_mut();
+            if !route_stats.contains_key(request.route) {
+                route_stats.insert(request.route.into(), RouteStats::default());
             }
-            let Some(known) = routes.get_mut(slow.route) else { return Ok(()) };
-            let told = slow.client_timeout_ms.is_finite();
-            if told {
-                known.longest_ms = known.longest_ms.max(slow.client_timeout_ms);
+            let Some(stats) = route_stats.get_mut(request.route) else { return Ok(()) };
+            let has_timeout = request.client_timeout_ms.is_finite();
+            if has_timeout {
+                stats.max_client_timeout_ms = stats.max_client_timeout_ms.max(request.client_timeout_ms);
             }
             (
-                told && slow.client_timeout_ms < AGAIN_PART * known.longest_ms,
-                known.expected_ms(slow.target_latency_ms),
+                has_timeout && request.client_timeout_ms < RETRY_PART * stats.max_client_timeout_ms,
+                stats.expected_ms(request.target_latency_ms),
             )
         };
         let arrival = Arrival {
-            rank: Rank::from_gives_way(slow.gives_way),
-            remaining_ms: slow.max_delay_ms,
+            rank: Rank::from_gives_way(request.gives_way),
+            remaining_ms: request.max_delay_ms,
             expected_ms,
-            is_retry: again,
+            is_retry,
         };
-        let verdict = self.throttle.borrow_mut().admit(now, slow.tenant, &arrival);
+        let verdict = self.throttle.borrow_mut().admit(now, request.tenant, &arrival);
         match verdict {
             Verdict::Pass => Ok(()),
             Verdict::RetryLater { retry_after_ms } => Err(retry_after_ms),
             Verdict::Delay { until } => {
-                let held = Held(self, slow.tenant);
-                if !self.leaving.get() {
-                    self.wheel.timeout(until - now, self.left.notified()).await;
+                let guard = DelayGuard { pacing: self, tenant: request.tenant };
+                if !self.is_shutting_down.get() {
+                    self.wheel.timeout(until - now, self.shutdown_began.notified()).await;
                 }
-                drop(held);
+                drop(guard);
                 Ok(())
             }
         }
     }
 
-    /// A request of this route was served, ms after it was handed on.
+    /// Records how long a request of this route took from when it was dispatched, ms.
     pub fn record_service_time(&self, route: &str, took_ms: f64) {
-        if let Some(known) = self.routes.borrow_mut().get_mut(route) {
-            let (mean, deviation) = known.served.unwrap_or((took_ms, took_ms / 4.0));
-            let off = (took_ms - mean).abs();
-            known.served =
-                Some((mean + NEW_PART * (took_ms - mean), deviation + NEW_PART * (off - deviation)));
+        if let Some(stats) = self.route_stats.borrow_mut().get_mut(route) {
+            let (mean, deviation) = stats.service_time.unwrap_or((took_ms, took_ms / 4.0));
+            let difference = (took_ms - mean).abs();
+            stats.service_time =
+                Some((mean + GAIN * (took_ms - mean), deviation + GAIN * (difference - deviation)));
         }
     }
 
-    /// How slowed tenants stand here, for operators.
+    /// States of the slowed tenants, for the metrics.
     pub fn tenant_statuses(&self) -> Vec<TenantStatus> {
         self.throttle.borrow_mut().tenant_statuses(self.wheel.now())
     }
 
-    /// Asks the leader for shares while a tenant is slowed, for as long as it is polled.
+    /// Requests shares from the leader while a tenant is slowed down. Never completes.
     pub async fn run_share_refresh(self: Rc<Self>, link: Rc<Link>) {
         loop {
-            if !self.active.get() {
-                self.began.notified().await;
+            if !self.is_active.get() {
+                self.activated.notified().await;
             }
-            self.ask(&link).await;
-            self.wheel.sleep(ASK_MS).await;
-            self.look();
+            self.refresh_shares(&link).await;
+            self.wheel.sleep(SHARES_INTERVAL_MS).await;
+            self.update_active();
         }
     }
 
-    async fn ask(&self, link: &Link) {
+    async fn refresh_shares(&self, link: &Link) {
         self.seq.set(self.seq.get() + 1);
         let (demand, held) = {
             let (now, throttle) = (self.wheel.now(), self.throttle.borrow());
             (throttle.demand(now), throttle.shares_in_use(now))
         };
         let call = PaceSharesCall { demand, held, seq: self.seq.get(), ..link.ebb_call() };
-        let Some(answer) = link.ask_leader::<_, PaceSharesAnswer>(path::PACE_SHARES, &call, ANSWER_MS).await
+        let Some(answer) =
+            link.ask_leader::<_, PaceSharesAnswer>(path::PACE_SHARES, &call, SHARES_TIMEOUT_MS).await
         else {
             return;
         };
