--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -121,7 +121,8 @@
         self.reply.borrow().is_none()
     }
 
-    /// Lets a send continue that the decision core has given up. Until it ends, the client gets a server's answer or none.
+    /// Lets a send continue that the decision core has given up. Until it ends, the client gets a server's answer or
+    /// none.
     pub(crate) fn detach_send(&self, attempt: usize, send: AbortHandle) {
         self.detached_sends.borrow_mut().push((attempt, send));
     }
@@ -144,8 +145,8 @@
         true
     }
 
-    /// Answers the client. Only a server's answer is sent while detached sends continue, because a refusal would promise
-    /// that the request has not run and never will.
+    /// Answers the client. Only a server's answer is sent while detached sends continue, because a refusal would
+    /// promise that the request has not run and never will.
     pub(crate) fn answer(&self, answer: Answer<ServerResponse>) {
         if !matches!(answer, Answer::Served(_)) && !self.detached_sends.borrow().is_empty() {
             *self.deferred_answer.borrow_mut() = Some(answer);
@@ -168,8 +169,8 @@
         self.sends.get()
     }
 
-    /// For a request that is being refused: whether the reason is that it waited for a server with capacity and there was
-    /// none. A request that is refused on arrival has too little time, or is not considered worth a wait.
+    /// For a request that is being refused: whether the reason is that it waited for a server with capacity and there
+    /// was none. A request that is refused on arrival has too little time, or is not considered worth a wait.
     pub(crate) fn lacked_capacity(&self) -> bool {
         let is_unsent = self.sends().begun() == 0;
         is_unsent
@@ -188,7 +189,8 @@
         self.method == "HEAD"
     }
 
-    /// The request head for the server of this id, with the time that remains and the length of the body if it is known.
+    /// The request head for the server of this id, with the time that remains and the length of the body if it is
+    /// known.
     fn head(&self, server_id: &str, remaining_ms: f64, length: Option<u64>) -> BytesMut {
         let mut head = BytesMut::with_capacity(512);
         for part in [self.method.as_bytes(), b" ", self.target.as_bytes(), b" HTTP/1.1\r\n"] {
--- a/crates/edge/src/budget.rs
+++ b/crates/edge/src/budget.rs
@@ -7,7 +7,7 @@
 /// Part of the allowed retry ratio that gateways use. The two ends of a connection differ slightly in what they count a
 /// request as and when.
 const RATIO_PART: f64 = 0.7;
-/// Number of gateways assumed until the core has reported it.
+/// Number of gateways assumed until the core's leader has reported it.
 pub const DEFAULT_GATEWAY_COUNT: u32 = 16;
 
 /// One gateway's share of the slack that all gateways have together. Half of the slack is left unused, because gateways
@@ -23,8 +23,9 @@
     retries: u32,
 }
 
-/// The number of retries that a service may get from this gateway: a ratio of the first sends in a sliding window, plus a
-/// share of the common slack. The sum over all gateways then stays below the rule's limit, whatever load each of them has.
+/// The number of retries that a service may get from this gateway: a ratio of the first sends in a sliding window,
+/// plus a share of the common slack. The sum over all gateways then stays below the rule's limit, whatever load each
+/// of them has.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     slice_ms: u64,
@@ -34,7 +35,8 @@
 }
 
 impl RetryBudget {
-    /// In any `window_ms` (at least 50) fewer retries are allowed than `ratio` times the first sends, plus `slack_share`.
+    /// In any `window_ms` (at least 50) fewer retries are allowed than `ratio` times the first sends, plus
+    /// `slack_share`.
     pub fn new(window_ms: u64, ratio: f64, slack_share: u32) -> RetryBudget {
         let slice_ms = (window_ms / SLICES).max(1) + u64::from(!window_ms.is_multiple_of(SLICES));
         RetryBudget { slice_ms, ratio, slack: slack_share, slices: [Slice::default(); SLICES as usize + 1] }
--- a/crates/edge/src/lease.rs
+++ b/crates/edge/src/lease.rs
@@ -1,9 +1,9 @@
 //! How long a gateway may rely on its copy of the configuration. No I/O.
 //!
-//! A revoked API key must not be accepted for longer than `revoke_timeout_s` after the revocation was acknowledged, even by
-//! gateways that have lost contact with the core. Each answer of the leader states how long ago a majority confirmed that
-//! it leads. No configuration that the leader doesn't know was acknowledged before that moment. So a copy stays valid for
-//! nearly the whole `revoke_timeout_s`, counted from when the call was sent, less that age.
+//! A revoked API key must not be accepted for longer than `revoke_timeout_s` after the revocation was acknowledged,
+//! even by gateways that have lost contact with the core. Each answer of the leader states how long ago a majority
+//! confirmed that it leads. No configuration that the leader doesn't know was acknowledged before that moment. So a
+//! copy stays valid for nearly the whole `revoke_timeout_s`, counted from when the call was sent, less that age.
 
 /// Part of the time-out for which a copy is valid. What counts is when the client sent its request, which is before the
 /// check here. The rest also covers clocks that run at slightly different rates.
--- a/crates/edge/src/operations.rs
+++ b/crates/edge/src/operations.rs
@@ -1,9 +1,9 @@
 //! The table of keyed operations that this gateway has claimed, without I/O. It determines the answer to a repeated
 //! request, at this gateway or at another one.
 //!
-//! A claim's number is used once. A claim that ended before a request was sent to a server is released: its number never
-//! runs, so another claim may replace it. A claim that ended otherwise without an answer is in doubt, and its operation is
-//! not run again.
+//! A claim's number is used once. A claim that ended before a request was sent to a server is released: its number
+//! never runs, so another claim may replace it. A claim that ended otherwise without an answer is in doubt, and its
+//! operation is not run again.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -28,7 +28,8 @@
 /// Memory of a stored answer in addition to its lines and its body.
 const ANSWER_OVERHEAD_BYTES: usize = 128;
 
-/// Digest of a request, which distinguishes it from other requests under the same key. `body`: `None` if it is streamed.
+/// Digest of a request, which distinguishes it from other requests under the same key. `body`: `None` if it is
+/// streamed.
 pub fn request_digest(method: &str, target: &str, body: Option<&[u8]>) -> u64 {
     let mut hasher = SipHasher13::new();
     hash_text(&mut hasher, method.as_bytes());
@@ -67,8 +68,8 @@
         Some(StoredAnswer { status: response.status, lines, body: Bytes::copy_from_slice(body) })
     }
 
-    /// The answer to the request with this `X-Attempt-Id`; `None`: the answer came from another gateway and is not valid
-    /// HTTP.
+    /// The answer to the request with this `X-Attempt-Id`; `None`: the answer came from another gateway and is not
+    /// valid HTTP.
     pub fn to_response(&self, attempt_id: &str) -> Option<ServerResponse> {
         let StoredAnswer { status, lines, body } = self;
         let head = format!(
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -1,5 +1,6 @@
-//! Pool of keep-alive connections to servers, by instance id. Connections are reused because they are costly for servers.
-//! Idle ones are closed before the server would, because a request that crosses the server's close may have run.
+//! Pool of keep-alive connections to servers, by instance id. Connections are reused because they are costly for
+//! servers. Idle ones are closed before the server would, because a request that crosses the server's close may have
+//! run.
 
 use crate::exchange_state::{ConnectionHistory, InvalidAnswer};
 use nickeljunction_core::facade::Outcome;
@@ -21,7 +22,8 @@
 const MAX_IDLE: usize = 8;
 /// Idle connections are closed after this time if the server states no time-out, ms.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 4_000.0;
-/// Subtracted from a stated time-out, which is in whole seconds and may have been rounded up, ms; but at most half of it.
+/// Subtracted from a stated time-out, which is in whole seconds and may have been rounded up, ms; but at most half of
+/// it.
 const IDLE_TIMEOUT_MARGIN_MS: f64 = 1_200.0;
 /// Time after which unacknowledged bytes break the connection, ms: a machine that lost power sends no reset.
 const UNACKNOWLEDGED_TIMEOUT_MS: u64 = 2_500;
--- a/crates/edge/src/preference.rs
+++ b/crates/edge/src/preference.rs
@@ -1,8 +1,8 @@
 //! The order in which a gateway prefers servers: weighted rendezvous hashing.
 //!
-//! Each gateway ranks the servers by a hash of its own name and theirs. Gateways that know nothing of each other are thus
-//! spread over all servers, in proportion to the servers' slots. A server that is added or removed does not change the
-//! rank of any other. See Schindelhauer and Schomaker, "Weighted Distributed Hash Tables" (SPAA 2005).
+//! Each gateway ranks the servers by a hash of its own name and theirs. Gateways that know nothing of each other are
+//! thus spread over all servers, in proportion to the servers' slots. A server that is added or removed does not
+//! change the rank of any other. See Schindelhauer and Schomaker, "Weighted Distributed Hash Tables" (SPAA 2005).
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -1,9 +1,9 @@
 //! The server side of a gateway: selects the server for each request and handles the results of sends.
 //!
-//! Each service has one decision core per set of home regions that its routes allow. The decision module in it selects
-//! servers, tracks their health and decides about retries. The following limits are enforced here, whatever the module
-//! decides: no server outside of the home regions or in an evacuated zone, no sends beyond a route's limit of attempts, the
-//! service's retry budget or a cold server's rate.
+//! Each service has one decision core per set of home regions that its routes allow. The decision module in it
+//! selects servers, tracks their health and decides about retries. The following limits are enforced here, whatever
+//! the module decides: no server outside of the home regions or in an evacuated zone, no sends beyond a route's limit
+//! of attempts, the service's retry budget or a cold server's rate.
 
 use crate::attempt::{attempt, PendingRequest};
 use crate::budget::{SendPacer, DEFAULT_GATEWAY_COUNT};
@@ -57,8 +57,8 @@
     proxy: Weak<Proxy>,
     lane: Weak<Lane>,
     sends: HashMap<(RequestKey, usize), (AbortHandle, Rc<PendingRequest>)>,
-    /// Denied sends, by request and attempt, and whether the client had disconnected. They are reported to the core after
-    /// its turn.
+    /// Denied sends, by request and attempt, and whether the client had disconnected. They are reported to the core
+    /// after its turn.
     denied: Vec<(RequestKey, usize, bool)>,
 }
 
@@ -87,8 +87,9 @@
         let (Some(proxy), Some(lane)) = (self.proxy.upgrade(), self.lane.upgrade()) else { return };
         let send = proxy.send(lane, task.clone(), request.clone(), retry_counted_at);
         let handle = tokio::task::spawn_local(send).abort_handle();
-        // During a shutdown the detached sends continue even so, because the new send may end in an answer of the gateway
-        // itself. They are still aborted if the request must not run twice: none of them may have reached a server.
+        // During a shutdown the detached sends continue even so, because the new send may end in an answer of the
+        // gateway itself. They are still aborted if the request must not run twice: none of them may have reached a
+        // server.
         if self.context.shutdown.get().is_none() || request.retry_safety == RetrySafety::AtMostOnce {
             request.abort_detached_sends();
         }
@@ -197,8 +198,9 @@
 }
 
 impl Proxy {
-    /// The server side of the gateway at this location; `seed` should differ between gateways and between starts. Timers
-    /// only run while [`Proxy::run`] is polled, on the same `LocalSet` as the callers of [`Dispatch::dispatch`].
+    /// The server side of the gateway at this location; `seed` should differ between gateways and between starts.
+    /// Timers only run while [`Proxy::run`] is polled, on the same `LocalSet` as the callers of
+    /// [`Dispatch::dispatch`].
     pub fn new(wheel: Wheel, budget: Rc<Budget>, here: Location, seed: u64, tuning: Tuning) -> Rc<Proxy> {
         let context = Rc::new(ProxyContext {
             pool: Pool::new(wheel.clone(), budget),
@@ -229,8 +231,9 @@
         *self.context.admission.borrow_mut() = Some(admission);
     }
 
-    /// Begins the shutdown. From now on no send is aborted for lack of time while its client waits, not even for another
-    /// send. No send begins that is not expected to finish in time, and servers get deadlines before the process ends.
+    /// Begins the shutdown. From now on no send is aborted for lack of time while its client waits, not even for
+    /// another send. No send begins that is not expected to finish in time, and servers get deadlines before the
+    /// process ends.
     pub fn begin_shutdown(&self, shutdown: Shutdown) {
         self.context.shutdown.set(Some(shutdown));
     }
@@ -307,7 +310,8 @@
                     self.run_turn(lane, |core, now| core.table(now, table, false));
                 }
             }
-            // A waiting request may have been sent to a cold server at once. The server is then not ready for another send.
+            // A waiting request may have been sent to a cold server at once. The server is then not ready for another
+            // send.
             if !self.context.cold_server_used.get() {
                 break;
             }
@@ -561,7 +565,8 @@
                 classes.len() - 1
             }
         };
-        // Retries of a client arrive with less time left than its first try, so the longest time-out is the client's own.
+        // Retries of a client arrive with less time left than its first try, so the longest time-out is the client's
+        // own.
         if exchange.timeout_ms > classes[index].class.client_timeout_ms * TIMEOUT_STEP {
             has_changed = true;
             classes[index].class.client_timeout_ms = exchange.timeout_ms;
@@ -615,8 +620,8 @@
             }
         }
         if result.outcome == Outcome::CouldNotConnect {
-            // Before the core learns of the failure: if the region has no other server, the core's next send can then use
-            // servers of other regions.
+            // Before the core learns of the failure: if the region has no other server, the core's next send can then
+            // use servers of other regions.
             let until = wheel.now() + UNREACHABLE_MS;
             self.context.fleet.borrow_mut().unreachable.insert(task.region.clone(), until);
             if !lane.overflow.get().spills() {
--- a/crates/edge/src/proxy_context.rs
+++ b/crates/edge/src/proxy_context.rs
@@ -35,7 +35,7 @@
 pub(crate) struct FleetState {
     pub(crate) upstreams: BTreeMap<String, Upstream>,
     pub(crate) backends: HashMap<String, Backend>,
-    /// Number of gateways, once the core has reported it.
+    /// Number of gateways, once the core's leader has reported it.
     pub(crate) gateways: Option<u32>,
     /// Retry budgets by service.
     pub(crate) budgets: HashMap<Rc<str>, RetryBudget>,
@@ -74,8 +74,8 @@
         self.counts.set(counts);
     }
 
-    /// Checks whether a send may start, and takes what it needs: a send of a cold server's pacer, a quota unit, and for a
-    /// retry a part of the retry budget. Returns for a retry when it was counted.
+    /// Checks whether a send may start, and takes what it needs: a send of a cold server's pacer, a quota unit, and
+    /// for a retry a part of the retry budget. Returns for a retry when it was counted.
     pub(crate) fn start_send(
         &self,
         request: &PendingRequest,
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// How the gateways are distributed. One gateway can't see the others, so it assumes them evenly spread over the zones that
-/// have servers.
+/// How the gateways are distributed. One gateway can't see the others, so it assumes them evenly spread over the
+/// zones that have servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetLayout {
     gateways: f64,
@@ -106,8 +106,8 @@
         (self.gateways / self.regions).max(1.0)
     }
 
-    /// Number of servers that this gateway must use so that each server is used by some gateway: its share of the servers
-    /// in its zone, or in its region if the zone has no server or not every zone has a gateway.
+    /// Number of servers that this gateway must use so that each server is used by some gateway: its share of the
+    /// servers in its zone, or in its region if the zone has no server or not every zone has a gateway.
     pub fn min_subset_size<'a>(&self, servers: impl Iterator<Item = &'a Upstream>, here: &Location) -> f64 {
         let (mut in_zone, mut in_region, mut total) = (0, 0, 0);
         for upstream in servers {
--- a/crates/edge/src/shutdown.rs
+++ b/crates/edge/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The schedule of an orderly shutdown, without I/O: until when servers may work for this process, when the last answer must
-//! be written, and whether a request or a send that would begin now can still finish in time.
+//! The schedule of an orderly shutdown, without I/O: until when servers may work for this process, when the last
+//! answer must be written, and whether a request or a send that would begin now can still finish in time.
 //!
 //! ```text
 //! SIGTERM                                       work_until   answers_until   grace_s
@@ -7,10 +7,10 @@
 //!    |--- servers at work -------------------------->|- answers --->|- the end ->|
 //! ```
 //!
-//! The caller checks [`Shutdown::admits_request`] before it accepts a request and [`Shutdown::admits_send`] before it sends
-//! the request to a server, and limits the deadline that the server gets with [`Shutdown::bound_deadline`]. Most servers stop
-//! at their deadline and answer that they did. Because some don't, a late request is not accepted if its server could still
-//! be working when the process ends.
+//! The caller checks [`Shutdown::admits_request`] before it accepts a request and [`Shutdown::admits_send`] before it
+//! sends the request to a server, and limits the deadline that the server gets with [`Shutdown::bound_deadline`].
+//! Most servers stop at their deadline and answer that they did. Because some don't, a late request is not accepted
+//! if its server could still be working when the process ends.
 
 /// Time at the end of the grace period for returning quota units and writing the last bytes to clients, ms.
 const FINAL_MS: f64 = 650.0;
@@ -18,9 +18,9 @@
 const ANSWER_RELAY_MS: f64 = 350.0;
 /// A schedule that starts late by no more than this still leaves enough time at the end, ms.
 const TOLERATED_DELAY_MS: f64 = 200.0;
-/// Requests that arrive up to this long after the shutdown order may still be in progress when the process ends, ms, because
-/// a server may work past its deadline. The operators' limit is 3 s after the request was sent; the difference covers the
-/// request's transit and a late start of the schedule.
+/// Requests that arrive up to this long after the shutdown order may still be in progress when the process ends, ms,
+/// because a server may work past its deadline. The operators' limit is 3 s after the request was sent; the
+/// difference covers the request's transit and a late start of the schedule.
 const LONG_WORK_MS: f64 = 2_800.0;
 /// A request is assumed to need at most this part of the time for work, however long its route lets it take: nearly any
 /// server can answer within that time, and is told to stop if it can't.
--- a/crates/edge/src/tenant_pacing.rs
+++ b/crates/edge/src/tenant_pacing.rs
@@ -1,5 +1,5 @@
-//! Delays requests of tenants whose trial has lapsed, as `nickeljunction-pacing` decides, and requests shares of the tenants'
-//! rates from the leader. Does nothing while there is no such tenant.
+//! Delays requests of tenants whose trial has lapsed, as `nickeljunction-pacing` decides, and requests shares of the
+//! tenants' rates from the leader. Does nothing while there is no such tenant.
 
 use crate::link::Link;
 use nickeljunction_messages::{path, PaceSharesAnswer, PaceSharesCall, TrialInfo};
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -20,7 +20,8 @@
     pub region: String,
 }
 
-/// Weights of a slot by locality. A server far away is used once the near ones have proportionally more work in progress.
+/// Weights of a slot by locality. A server far away is used once the near ones have proportionally more work in
+/// progress.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalityWeights {
     /// Weight of a slot in the own zone.
@@ -111,8 +112,8 @@
     nickeljunction_routing::distance((&upstream.zone, &upstream.region), (&here.zone, &here.region))
 }
 
-/// The weight of a server for requests with these home regions; `None`: it must not be used. `spills`: other regions may
-/// be used.
+/// The weight of a server for requests with these home regions; `None`: it must not be used. `spills`: other regions
+/// may be used.
 pub fn locality_weight(
     upstream: &Upstream,
     home_regions: &[String],
