--- a/crates/edge/src/drain.rs
+++ b/crates/edge/src/drain.rs
@@ -11,7 +11,7 @@
 /// For giving units back and for the last bytes to clients, ms.
 const LAST_MS: f64 = 150.0;
 
-/// Drains a front whose [`Lifecycle::leave`] has been called. Ready when the process may end: no connection is open, or
+/// Drains a front whose [`Lifecycle::begin_shutdown`] has been called. Ready when the process may end: no connection is open, or
 /// the time of the schedule is over. `give_back` runs when no request can begin any more.
 pub async fn drain(
     wheel: &Wheel,
--- a/crates/edge/src/frontend.rs
+++ b/crates/edge/src/frontend.rs
@@ -1,4 +1,4 @@
-//! The clients' side of a gateway: takes connections, reads requests, admits them, hands them on and answers them.
+//! The client side of a gateway: accepts connections, reads requests, admits them, forwards them and writes the answers.
 
 mod connection;
 mod keyed;
@@ -27,56 +27,55 @@
 pub use keyed::KeyedOperations;
 pub use lifecycle::Lifecycle;
 
-/// How long bytes sent to a client may stay without an acknowledgement before the kernel gives the connection up.
-const UNHEARD: Duration = Duration::from_secs(10);
-/// Pause after the listener failed, ms: mostly for want of descriptors, which come back.
+/// How long sent bytes may stay unacknowledged before the kernel closes the connection.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after accepting a connection failed, ms: mostly file descriptors have run out and become free again.
 const LISTENER_PAUSE_MS: f64 = 20.0;
-/// Read buffer that all connections share, bytes: an idle one holds none of its own.
-const SCRATCH: usize = 16 * 1024;
-/// Pause told where no configuration has come yet, ms.
+/// Size of the read buffer that all connections share: idle connections have no buffer of their own.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// `Retry-After` before the first configuration has arrived, ms.
 const CONFIGURATION_PAUSE_MS: f64 = 200.0;
-/// Pause told where no region may serve a request, ms: only a new configuration changes that.
-const HOMELESS_PAUSE_MS: f64 = 1_000.0;
-
-/// Pause told by a gateway that ends: the client's next connection goes to another one.
-const ELSEWHERE_PAUSE_MS: f64 = 50.0;
+/// `Retry-After` where no region may serve a request, ms: only a new configuration changes that.
+const NO_REGION_PAUSE_MS: f64 = 1_000.0;
+/// `Retry-After` during shutdown, ms: the client's next connection goes to another gateway.
+const SHUTDOWN_PAUSE_MS: f64 = 50.0;
 
 const KEYS_STALE: &str = "out of touch with the core, keys can not be checked";
 
-/// What a front has done since its start, for logs.
+/// Counters since the start of the process, for the log and the metrics.
 #[derive(Debug, Default)]
 pub struct FrontendCounts {
-    /// Connections taken.
+    /// Accepted connections.
     pub connections: Cell<u64>,
     /// Requests whose heads were read.
     pub requests: Cell<u64>,
-    /// Servers' answers passed on whole.
+    /// Servers' answers forwarded completely.
     pub served: Cell<u64>,
-    /// Servers' answers that broke off under way.
+    /// Servers' answers that broke off while they were being forwarded.
     pub broken: Cell<u64>,
     /// No route (404).
     pub no_route: Cell<u64>,
-    /// No key, or an unknown one (401).
+    /// Missing or unknown key (401).
     pub no_key: Cell<u64>,
-    /// Beyond a quota (429).
+    /// Tenant over its quota, or its trial has lapsed (429).
     pub over_quota: Cell<u64>,
-    /// Not run, come back later (503).
+    /// Not executed, to be retried later (503).
     pub refused: Cell<u64>,
-    /// Of these, those that the core was out of touch for.
+    /// Of the refused ones: too long since the last contact with the core.
     pub stale: Cell<u64>,
-    /// Of these, those that came too late before the gateway's end.
+    /// Of the refused ones: could not be expected to finish before the process exits.
     pub refused_at_shutdown: Cell<u64>,
-    /// Told at the gateway's end that no answer had come (504, counted as late, too).
+    /// Still unanswered at the end of the shutdown (504, also counted in `timed_out`).
     pub cut_by_end: Cell<u64>,
-    /// Failed at a server (502).
+    /// No usable answer from a server (502).
     pub failed: Cell<u64>,
-    /// Keys whose first request is still at work (409).
+    /// Operation keys whose first request is still being processed (409).
     pub in_progress: Cell<u64>,
     /// Not answered in time (504).
     pub timed_out: Cell<u64>,
     /// Malformed, too large or too slow (other 4xx).
     pub malformed: Cell<u64>,
-    /// Clients that went before their answer.
+    /// Connections that the client closed before its answer.
     pub client_gone: Cell<u64>,
 }
 
@@ -98,7 +97,7 @@
         });
     }
 
-    /// Requests by what became of them, with the status that their clients got; `*`: a server's.
+    /// Requests by outcome, under the names of the metric's labels, with the status sent to the client; `*`: the server's.
     pub(crate) fn outcomes(&self) -> [(&'static str, &'static str, u64); 12] {
         let stale = self.stale.get();
         [
@@ -117,9 +116,9 @@
         ]
     }
 
-    /// The counts as pairs for the log.
+    /// The counters as `key=value` pairs for the log.
     pub fn log_line(&self) -> String {
-        let figures = [
+        let counters = [
             ("connections", &self.connections),
             ("requests", &self.requests),
             ("served", &self.served),
@@ -136,32 +135,35 @@
             ("improper", &self.malformed),
             ("gone", &self.client_gone),
         ];
-        figures.map(|(name, cell)| format!("{name}={}", cell.get())).join(" ")
+        counters.map(|(name, cell)| format!("{name}={}", cell.get())).join(" ")
     }
 }
 
-/// A request that may go as far as admission.
-struct Ask {
+/// A request with its route and, where the route requires a key, its tenant.
+struct RoutedRequest {
     attempt_id: String,
     route: Rc<Route>,
     tenant: Option<Rc<Tenant>>,
+    /// Regions that may serve it; empty: any.
     homes: Rc<[String]>,
+    /// When its head had been read, ms of the program's clock.
     arrived: f64,
-    /// As the client said it; infinite where it said nothing.
-    deadline_ms: f64,
-    patience_ms: f64,
+    /// Remaining time as the client stated it, ms; infinite where it stated none.
+    client_deadline_ms: f64,
+    /// How long it may take from its arrival on, ms.
+    time_limit_ms: f64,
 }
 
-/// A request that has its unit.
+/// A request for which a unit of the tenant's quota has been spent.
 struct AdmittedRequest {
     head: RequestHead,
-    ask: Ask,
+    routed: RoutedRequest,
     body: Body,
-    /// Until when its first byte may be sent, ms of the program's clock.
+    /// When the unit expires, ms of the program's clock: the first byte must be sent before.
     unit_until: f64,
 }
 
-/// The clients' side.
+/// The client side of a gateway.
 pub struct Frontend {
     wheel: Wheel,
     table: Rc<Swap<Table>>,
@@ -169,16 +171,16 @@
     dispatch: Rc<dyn Dispatch>,
     lifecycle: Rc<Lifecycle>,
     budget: Rc<Budget>,
-    /// Claims keyed operations; without it keyed routes are served as non-repeatable ones.
+    /// Claims keyed operations; `None`: keyed routes are served as non-repeatable ones.
     keyed: RefCell<Option<Rc<KeyedOperations>>>,
     counts: FrontendCounts,
-    beyond: Beyond,
-    lots: RefCell<fastrand::Rng>,
-    scratch: RefCell<Box<[u8]>>,
+    over_quota: Beyond,
+    rng: RefCell<fastrand::Rng>,
+    read_buffer: RefCell<Box<[u8]>>,
 }
 
 impl Frontend {
-    /// A front; `seed` draws services by weight.
+    /// A frontend; `seed` is for drawing backends by weight.
     pub fn new(
         wheel: Wheel,
         table: Rc<Swap<Table>>,
@@ -188,9 +190,9 @@
         budget: Rc<Budget>,
         seed: u64,
     ) -> Rc<Frontend> {
-        let lots = RefCell::new(fastrand::Rng::with_seed(seed));
-        let scratch = RefCell::new(vec![0; SCRATCH].into_boxed_slice());
-        let (counts, beyond) = (FrontendCounts::default(), Beyond::default());
+        let rng = RefCell::new(fastrand::Rng::with_seed(seed));
+        let read_buffer = RefCell::new(vec![0; READ_BUFFER_BYTES].into_boxed_slice());
+        let (counts, over_quota) = (FrontendCounts::default(), Beyond::default());
         let keyed = RefCell::default();
         Rc::new(Frontend {
             wheel,
@@ -201,54 +203,54 @@
             budget,
             keyed,
             counts,
-            beyond,
-            lots,
-            scratch,
+            over_quota,
+            rng,
+            read_buffer,
         })
     }
 
-    /// What claims keyed operations, where there is such.
+    /// The keyed operations, where they are claimed.
     pub fn keyed_operations(&self) -> Option<Rc<KeyedOperations>> {
         self.keyed.borrow().clone()
     }
 
-    /// Keyed operations are claimed by this from now on.
+    /// Has keyed operations claimed from now on.
     pub fn set_keyed_operations(&self, keyed: Rc<KeyedOperations>) {
         *self.keyed.borrow_mut() = Some(keyed);
     }
 
-    /// What has been done so far.
+    /// The counters since the start.
     pub fn counts(&self) -> &FrontendCounts {
         &self.counts
     }
 
-    /// Tenants refused for their quota lately.
+    /// Tenants recently refused because they were over their quota.
     pub fn over_quota(&self) -> &Beyond {
-        &self.beyond
+        &self.over_quota
     }
 
-    /// Takes clients' connections until [`Lifecycle::stop_accepting`], each in a task of its own (within a `LocalSet`).
-    /// A connection without a place in the budget waits in the listener's queue while the longest idle one is closed.
+    /// Accepts clients' connections until [`Lifecycle::stop_accepting`], and serves each in a task of its own (within a
+    /// `LocalSet`). A connection beyond the budget waits in the listener's queue while the longest idle one is closed.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         while self.lifecycle.is_accepting() {
-            let taken = tokio::select! {
+            let accepted = tokio::select! {
                 biased;
                 () = self.lifecycle.stopped_accepting() => continue,
-                // A server's connection finds no place.
+                // A connection to a server has no slot in the budget.
                 () = self.budget.squeeze.notified() => {
                     self.lifecycle.evict_longest_idle();
                     continue;
                 }
-                taken = self.take(&listener) => taken,
+                accepted = self.accept(&listener) => accepted,
             };
-            let Ok((stream, slot)) = taken else {
+            let Ok((stream, slot)) = accepted else {
                 self.wheel.sleep(LISTENER_PAUSE_MS).await;
                 continue;
             };
-            // What can't be tuned has ended already, which reading it will tell.
+            // Setting options fails only on a closed connection, which the next read reports.
             let _ = stream.set_nodelay(true);
-            let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNHEARD));
-            // Known from here on, not only from its task's first turn: a shutdown waits for it.
+            let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT));
+            // Registered here, before its task first runs, so that a shutdown waits for it.
             let connection = self.clone().client_connection(stream);
             tokio::task::spawn_local(async move {
                 connection.run().await;
@@ -257,7 +259,7 @@
         }
     }
 
-    async fn take(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, Slot)> {
+    async fn accept(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, Slot)> {
         let slot = loop {
             match self.budget.terminal() {
                 Some(slot) => break slot,
@@ -271,7 +273,7 @@
         Ok((stream, slot))
     }
 
-    /// Serves one client's connection to its end.
+    /// Serves one client's connection until it is closed.
     pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, io: S) {
         self.client_connection(io).run().await;
     }
@@ -281,23 +283,24 @@
         ClientConnection::new(self, io)
     }
 
-    /// A request of repeatable kind, as far as known: it may be handed on while others before it are unanswered.
-    fn repeats(&self, head: &RequestHead) -> bool {
+    /// Whether the request may be executed repeatedly: then it is forwarded while earlier ones are unanswered.
+    fn is_repeatable(&self, head: &RequestHead) -> bool {
         match self.table.get().find(head.host(), head.path()) {
             RouteMatch::Route(route) => route.repeatable,
-            // Its answer is the gateway's own.
+            // The gateway answers it itself.
             RouteMatch::NotFound | RouteMatch::NotLoaded => true,
         }
     }
 
-    /// Finds route, tenant and homes for a head read at `arrived`, ms of the program's clock.
-    fn sort(&self, head: &RequestHead, arrived: f64) -> Result<Ask, LocalReply> {
-        let bad = |error: &'static str| move |_: HttpError| LocalReply::new(400, error);
-        let attempt_id = head.headers.single("x-attempt-id").map_err(bad("two X-Attempt-Id"))?;
+    /// Finds route, tenant and home regions for a head read at `arrived`, ms of the program's clock.
+    fn route_request(&self, head: &RequestHead, arrived: f64) -> Result<RoutedRequest, LocalReply> {
+        let bad_request = |error: &'static str| move |_: HttpError| LocalReply::new(400, error);
+        let attempt_id = head.headers.single("x-attempt-id").map_err(bad_request("two X-Attempt-Id"))?;
         let attempt_id = attempt_id.filter(|id| !id.is_empty());
         let attempt_id = attempt_id.ok_or(LocalReply::new(400, "no X-Attempt-Id"))?.to_string();
-        let left = head.headers.single("x-deadline-remaining").map_err(bad("two X-Deadline-Remaining"))?;
-        let left = match left.map(str::parse::<f64>) {
+        let deadline =
+            head.headers.single("x-deadline-remaining").map_err(bad_request("two X-Deadline-Remaining"))?;
+        let left_ms = match deadline.map(str::parse::<f64>) {
             None => f64::INFINITY,
             Some(Ok(ms)) if ms.is_finite() => ms,
             Some(_) => return Err(LocalReply::new(400, "X-Deadline-Remaining is no number")),
@@ -308,48 +311,56 @@
             RouteMatch::NotLoaded => {
                 return Err(LocalReply::refusal(503, "configuration not here yet", CONFIGURATION_PAUSE_MS))
             }
-            // A machine out of touch may lack the newest routes.
+            // Without contact to the core, the newest routes may be missing here.
             RouteMatch::NotFound => {
-                let stale = self.stale("out of touch with the core, route not known here");
+                let stale = self.stale_reply("out of touch with the core, route not known here");
                 return Err(stale.unwrap_or(LocalReply::new(404, "no such route")));
             }
         };
         let tenant = match table.requires_key(&route) {
-            true => Some(self.holder(&table, head)?),
+            true => Some(self.authenticate(&table, head)?),
             false => None,
         };
         let homes = table.homes(&route, tenant.as_deref());
         let homes = homes.ok_or(LocalReply::refusal(
             503,
             "route and tenant share no home region",
-            HOMELESS_PAUSE_MS,
+            NO_REGION_PAUSE_MS,
         ))?;
-        let patience_ms = left.min(route.timeout_ms);
-        if patience_ms <= 0.0 {
+        let time_limit_ms = left_ms.min(route.timeout_ms);
+        if time_limit_ms <= 0.0 {
             return Err(LocalReply::refusal(503, "no time left on arrival", 0.0));
         }
-        self.in_time(Ask { attempt_id, route, tenant, homes, arrived, deadline_ms: left, patience_ms })
+        self.limit_to_shutdown(RoutedRequest {
+            attempt_id,
+            route,
+            tenant,
+            homes,
+            arrived,
+            client_deadline_ms: left_ms,
+            time_limit_ms,
+        })
     }
 
-    /// Once the order to leave has come: the request with no more time than is left, or its refusal where it could not be
-    /// expected to end before the process does.
-    fn in_time(&self, ask: Ask) -> Result<Ask, LocalReply> {
-        let Some(shutdown) = self.lifecycle.shutdown() else { return Ok(ask) };
-        let (arrived, deadline) = (ask.arrived, ask.arrived + ask.patience_ms);
-        if !shutdown.admits_request(self.wheel.now(), arrived, ask.route.aim_ms, deadline) {
+    /// During shutdown: limits the request's time to what is left, or refuses the request if it can't be expected to finish
+    /// before the process exits.
+    fn limit_to_shutdown(&self, routed: RoutedRequest) -> Result<RoutedRequest, LocalReply> {
+        let Some(shutdown) = self.lifecycle.shutdown() else { return Ok(routed) };
+        let (arrived, deadline) = (routed.arrived, routed.arrived + routed.time_limit_ms);
+        if !shutdown.admits_request(self.wheel.now(), arrived, routed.route.aim_ms, deadline) {
             count(&self.counts.refused_at_shutdown);
-            return Err(LocalReply::refusal(503, "this gateway is about to end", ELSEWHERE_PAUSE_MS));
+            return Err(LocalReply::refusal(503, "this gateway is about to end", SHUTDOWN_PAUSE_MS));
         }
-        let patience_ms = shutdown.bound_patience(ask.arrived, ask.patience_ms);
-        Ok(Ask { patience_ms, ..ask })
+        let time_limit_ms = shutdown.bound_patience(routed.arrived, routed.time_limit_ms);
+        Ok(RoutedRequest { time_limit_ms, ..routed })
     }
 
-    /// The holder of the key that a request carries.
-    fn holder(&self, table: &Table, head: &RequestHead) -> Result<Rc<Tenant>, LocalReply> {
-        // First of all: while the core is out of reach, a key that is here may have been taken away, and one that is not
-        // may have been given out.
-        if let Some(own) = self.stale(KEYS_STALE) {
-            return Err(own);
+    /// The tenant whose key the request carries.
+    fn authenticate(&self, table: &Table, head: &RequestHead) -> Result<Rc<Tenant>, LocalReply> {
+        // Checked first: without contact to the core, a key known here may have been revoked, and an unknown one may have
+        // been issued.
+        if let Some(refusal) = self.stale_reply(KEYS_STALE) {
+            return Err(refusal);
         }
         let line = head
             .headers
@@ -361,47 +372,48 @@
         table.tenant_by_key(key).cloned().ok_or(LocalReply::new(401, "unknown key"))
     }
 
-    fn stale(&self, error: &'static str) -> Option<LocalReply> {
+    /// A refusal where the last contact with the core is too long ago.
+    fn stale_reply(&self, error: &'static str) -> Option<LocalReply> {
         let pause = self.admission.stale()?;
         count(&self.counts.stale);
         Some(LocalReply::refusal(503, error, pause))
     }
 
-    /// Admits a request, hands it on and waits for its answer. Dropping this gives it up.
-    async fn pass_on(self: Rc<Self>, head: RequestHead, ask: Ask, body: Body) -> Reply {
-        let operation = match self.operation(&head, &ask, &body) {
+    /// Admits a request, forwards it and waits for its answer. Dropping the future cancels the request.
+    async fn handle_request(self: Rc<Self>, head: RequestHead, routed: RoutedRequest, body: Body) -> Reply {
+        let operation = match self.operation(&head, &routed, &body) {
             Ok(operation) => operation,
-            Err(own) => return Reply::Local(own),
+            Err(refusal) => return Reply::Local(refusal),
         };
-        if let Err(own) = self.slow(&ask).await {
-            return Reply::Local(own);
+        if let Err(refusal) = self.delay_lapsed_trial(&routed).await {
+            return Reply::Local(refusal);
         }
-        // The order to leave may have come since its head was read.
-        let ask = match self.in_time(ask) {
-            Ok(ask) => ask,
-            Err(own) => return Reply::Local(own),
+        // The shutdown may have begun since the head was read.
+        let routed = match self.limit_to_shutdown(routed) {
+            Ok(routed) => routed,
+            Err(refusal) => return Reply::Local(refusal),
         };
-        let unit_until = match self.admit(&ask).await {
+        let unit_until = match self.acquire_unit(&routed).await {
             Ok(until) => until,
-            Err(own) => return Reply::Local(own),
+            Err(refusal) => return Reply::Local(refusal),
         };
-        let admitted = AdmittedRequest { head, ask, body, unit_until };
+        let admitted = AdmittedRequest { head, routed, body, unit_until };
         match operation {
             Some(operation) => self.run_once(operation, admitted).await,
-            None => self.send(admitted).await,
+            None => self.send_to_server(admitted).await,
         }
     }
 
-    /// Hands an admitted request on and waits for its answer.
-    async fn send(&self, request: AdmittedRequest) -> Reply {
-        let AdmittedRequest { head, ask, body, unit_until } = request;
-        let Ask { attempt_id, route, tenant, homes, arrived, patience_ms, .. } = ask;
+    /// Sends an admitted request to a server and waits for its answer.
+    async fn send_to_server(&self, request: AdmittedRequest) -> Reply {
+        let AdmittedRequest { head, routed, body, unit_until } = request;
+        let RoutedRequest { attempt_id, route, tenant, homes, arrived, time_limit_ms, .. } = routed;
         let sent = self.wheel.now();
-        if sent >= arrived + patience_ms {
+        if sent >= arrived + time_limit_ms {
             return Reply::Local(LocalReply::refusal(503, "no time left before a server was asked", 0.0));
         }
-        let Some(backend) = route.backend(self.lots.borrow_mut().f64()).cloned() else {
-            return Reply::Local(LocalReply::refusal(503, "route without a service", HOMELESS_PAUSE_MS));
+        let Some(backend) = route.backend(self.rng.borrow_mut().f64()).cloned() else {
+            return Reply::Local(LocalReply::refusal(503, "route without a service", NO_REGION_PAUSE_MS));
         };
         let (reply, answer) = oneshot::channel();
         self.dispatch.dispatch(Exchange {
@@ -418,7 +430,7 @@
             priority: table::priority(&route, tenant.as_deref()),
             tenant: tenant.map(|tenant| tenant.name.to_string()),
             arrived,
-            patience_ms,
+            patience_ms: time_limit_ms,
             unit_until,
             reply,
         });
@@ -431,36 +443,37 @@
             Ok(Answer::ShortOnCapacityReply(pause)) => {
                 Reply::Local(LocalReply::refusal(503, "no server free", pause))
             }
-            // Also where the servers' side has let go of it: then it may have run.
-            Ok(Answer::Failed) | Err(_) if self.wheel.now() >= arrived + patience_ms => {
+            // Also if the proxy dropped the request without an answer: it may have been executed then.
+            Ok(Answer::Failed) | Err(_) if self.wheel.now() >= arrived + time_limit_ms => {
                 Reply::Local(LocalReply::new(504, "no answer from a server in time"))
             }
             Ok(Answer::Failed) | Err(_) => Reply::Local(LocalReply::new(502, "no good answer from a server")),
         }
     }
 
-    /// Holds a request of a tenant whose trial has lapsed, or tells it when to come back: no server was asked then.
-    async fn slow(&self, ask: &Ask) -> Result<(), LocalReply> {
-        let (Some(tenant), Some(ebb)) = (&ask.tenant, self.admission.ebb()) else { return Ok(()) };
-        let Ask { route, deadline_ms, patience_ms, arrived, .. } = ask;
-        let slow = Slow {
+    /// Delays a request of a tenant whose trial has lapsed, or refuses it with a `Retry-After` before it reaches a server.
+    async fn delay_lapsed_trial(&self, routed: &RoutedRequest) -> Result<(), LocalReply> {
+        let (Some(tenant), Some(ebb)) = (&routed.tenant, self.admission.ebb()) else { return Ok(()) };
+        let RoutedRequest { route, client_deadline_ms, time_limit_ms, arrived, .. } = routed;
+        let delayed = Slow {
             tenant: &tenant.name,
             route: &route.name,
             gives_way: route.gives_way,
             aim_ms: route.aim_ms,
-            deadline_ms: *deadline_ms,
-            left_ms: arrived + patience_ms - self.wheel.now(),
+            deadline_ms: *client_deadline_ms,
+            left_ms: arrived + time_limit_ms - self.wheel.now(),
         };
-        ebb.slow(slow)
+        ebb.slow(delayed)
             .await
             .map_err(|pause| LocalReply::refusal(429, "the tenant's trial has lapsed, come back", pause))
     }
 
-    /// Until when the request's first byte may be sent, ms of the program's clock.
-    async fn admit(&self, ask: &Ask) -> Result<f64, LocalReply> {
-        let Some(tenant) = &ask.tenant else { return Ok(f64::INFINITY) };
+    /// Spends a unit of the tenant's quota and returns when it expires, ms of the program's clock: the request's first byte
+    /// must be sent before.
+    async fn acquire_unit(&self, routed: &RoutedRequest) -> Result<f64, LocalReply> {
+        let Some(tenant) = &routed.tenant else { return Ok(f64::INFINITY) };
         let mut admitted = self.admission.admit(&tenant.name).await;
-        // A unit that this task came too late to use: one more is asked for.
+        // The unit expired before this task ran: requests another one.
         if matches!(admitted, Admitted::Until(until) if until < self.wheel.now()) {
             admitted = self.admission.admit(&tenant.name).await;
         }
@@ -468,10 +481,10 @@
             Admitted::Until(until) if until < self.wheel.now() => {
                 Err(LocalReply::refusal(503, "unit of quota came too late", 0.0))
             }
-            // The wait may have been long enough for the lease of knowledge to end.
-            Admitted::Until(until) => self.stale(KEYS_STALE).map_or(Ok(until), Err),
+            // The lease on the configuration may have expired during the wait.
+            Admitted::Until(until) => self.stale_reply(KEYS_STALE).map_or(Ok(until), Err),
             Admitted::Beyond(pause) => {
-                self.beyond.add(&tenant.name);
+                self.over_quota.add(&tenant.name);
                 Err(LocalReply::refusal(429, "beyond the quota", pause))
             }
             Admitted::Unknown(pause) => {
--- a/crates/edge/src/frontend/connection.rs
+++ b/crates/edge/src/frontend/connection.rs
@@ -1,7 +1,7 @@
 //! One client's connection: requests in, answers out in the same order, some of them at work at once.
 
 use super::lifecycle::Entry;
-use super::{count, Ask, Frontend};
+use super::{count, Frontend, RoutedRequest};
 use crate::exchange::{Body, Part, Stream, MOST_WHOLE};
 use crate::reply::{put_local_reply, put_served_reply, LocalReply, Reply, ReplyBody, ReplyContext};
 use bytes::{Buf, Bytes, BytesMut};
@@ -49,7 +49,7 @@
 
 struct Whole {
     head: RequestHead,
-    ask: Ask,
+    routed: RoutedRequest,
     reader: BodyReader,
     held: BytesMut,
 }
@@ -252,7 +252,7 @@
         if !wanted {
             return Poll::Pending;
         }
-        let mut scratch = self.front.scratch.borrow_mut();
+        let mut scratch = self.front.read_buffer.borrow_mut();
         let mut space = ReadBuf::new(&mut scratch);
         match Pin::new(&mut self.io).poll_read(context, &mut space) {
             Poll::Pending => return Poll::Pending,
@@ -282,7 +282,7 @@
             }
             Reading::Head if self.begun => self.moved + bounds.head_ms,
             Reading::Whole(whole) => {
-                (self.moved + bounds.head_ms).min(whole.ask.arrived + whole.ask.patience_ms)
+                (self.moved + bounds.head_ms).min(whole.routed.arrived + whole.routed.time_limit_ms)
             }
             Reading::Discard(_) => self.moved + bounds.head_ms,
             Reading::Upload(upload) if upload.backlog.is_empty() => self.moved + bounds.head_ms,
@@ -389,7 +389,7 @@
             return false;
         }
         let short = matches!(head.framing, Framing::Length(length) if length <= MOST_WHOLE);
-        short && !head.expects_continue() && self.front.repeats(head)
+        short && !head.expects_continue() && self.front.is_repeatable(head)
     }
 
     /// Begins with a request whose head is there.
@@ -399,19 +399,19 @@
             Ok(reader) => reader,
             Err(error) => return self.turn_away(&head, improper(&error), None),
         };
-        let ask = match self.front.sort(&head, arrived) {
-            Ok(ask) => ask,
+        let routed = match self.front.route_request(&head, arrived) {
+            Ok(routed) => routed,
             Err(own) => return self.turn_away(&head, own, Some(reader)),
         };
         if reader.is_complete() {
-            return self.start(head, ask, Body::Whole(Bytes::new()));
+            return self.start(head, routed, Body::Whole(Bytes::new()));
         }
         self.go_on = expects && self.from.is_empty();
         match framing {
             Framing::Length(length) if length > MOST_WHOLE => {
-                self.upload(head, ask, reader, Some(length as u64), VecDeque::new())
+                self.upload(head, routed, reader, Some(length as u64), VecDeque::new())
             }
-            _ => Reading::Whole(Box::new(Whole { head, ask, reader, held: BytesMut::new() })),
+            _ => Reading::Whole(Box::new(Whole { head, routed, reader, held: BytesMut::new() })),
         }
     }
 
@@ -445,12 +445,12 @@
     }
 
     /// Sets a request to work; the next state.
-    fn start(&mut self, head: RequestHead, ask: Ask, body: Body) -> Reading {
+    fn start(&mut self, head: RequestHead, routed: RoutedRequest, body: Body) -> Reading {
         let next = after(head.keep_alive);
         let (is_head, http_minor) = (head.method == "HEAD", head.minor);
-        let attempt_id = Some(ask.attempt_id.clone());
-        let large_answer = ask.route.large_answers;
-        let work = Some(Box::pin(self.front.clone().pass_on(head, ask, body)) as Pin<Box<_>>);
+        let attempt_id = Some(routed.attempt_id.clone());
+        let large_answer = routed.route.large_answers;
+        let work = Some(Box::pin(self.front.clone().handle_request(head, routed, body)) as Pin<Box<_>>);
         self.queue.push_back(Waiting { large_answer, work, reply: None, attempt_id, is_head, http_minor });
         next
     }
@@ -459,14 +459,14 @@
     fn upload(
         &mut self,
         head: RequestHead,
-        ask: Ask,
+        routed: RoutedRequest,
         reader: BodyReader,
         length: Option<u64>,
         backlog: VecDeque<Part>,
     ) -> Reading {
         let (to, parts) = mpsc::channel(PARTS);
         let keep = head.keep_alive;
-        self.start(head, ask, Body::Streamed(Some(Stream { length, parts }).into()));
+        self.start(head, routed, Body::Streamed(Some(Stream { length, parts }).into()));
         Reading::Upload(Box::new(Upload { reader, keep, to: Some(to), backlog, room: None }))
     }
 
@@ -474,23 +474,23 @@
         loop {
             match whole.reader.next(&mut self.from) {
                 Ok(Chunk::Part(part)) if whole.held.is_empty() && whole.reader.is_complete() => {
-                    let Whole { head, ask, .. } = *whole;
-                    return (self.start(head, ask, Body::Whole(part)), true);
+                    let Whole { head, routed, .. } = *whole;
+                    return (self.start(head, routed, Body::Whole(part)), true);
                 }
                 Ok(Chunk::Part(part)) if whole.held.len() + part.len() > MOST_WHOLE => {
-                    let Whole { head, ask, reader, held } = *whole;
+                    let Whole { head, routed, reader, held } = *whole;
                     let mut backlog = VecDeque::new();
                     for mut bytes in [held.freeze(), part] {
                         while !bytes.is_empty() {
                             backlog.push_back(Part::Data(bytes.split_to(bytes.len().min(MOST_PART))));
                         }
                     }
-                    return (self.upload(head, ask, reader, None, backlog), true);
+                    return (self.upload(head, routed, reader, None, backlog), true);
                 }
                 Ok(Chunk::Part(part)) => whole.held.extend_from_slice(&part),
                 Ok(Chunk::End) => {
-                    let Whole { head, ask, held, .. } = *whole;
-                    return (self.start(head, ask, Body::Whole(held.freeze())), true);
+                    let Whole { head, routed, held, .. } = *whole;
+                    return (self.start(head, routed, Body::Whole(held.freeze())), true);
                 }
                 Ok(Chunk::Incomplete) => return (Reading::Whole(whole), false),
                 Err(error) => return (self.turn_away(&whole.head, improper(&error), None), true),
@@ -700,7 +700,7 @@
             let mut on = self.io.shutdown().await.is_ok();
             while on && left > 0 {
                 let read = poll_fn(|context| {
-                    let mut scratch = front.scratch.borrow_mut();
+                    let mut scratch = front.read_buffer.borrow_mut();
                     let mut space = ReadBuf::new(&mut scratch);
                     Pin::new(&mut self.io).poll_read(context, &mut space).map_ok(|()| space.filled().len())
                 });
--- a/crates/edge/src/frontend/keyed.rs
+++ b/crates/edge/src/frontend/keyed.rs
@@ -3,7 +3,7 @@
 //!
 //! A claimed request is served by a task of its own: a client that leaves ends neither the run nor the record of it.
 
-use super::{AdmittedRequest, Ask, Frontend, ELSEWHERE_PAUSE_MS, KEYS_STALE};
+use super::{AdmittedRequest, Frontend, RoutedRequest, KEYS_STALE, SHUTDOWN_PAUSE_MS};
 use crate::claiming::{Claiming, Refusal, Step};
 use crate::claims::Claims;
 use crate::exchange::Body;
@@ -168,13 +168,13 @@
     async fn claim(
         self: &Rc<Self>,
         operation: Operation,
-        ask: &Ask,
+        routed: &RoutedRequest,
         client: &Client,
     ) -> Result<Claim, Reply> {
-        let most_ms = (ask.route.aim_ms * CLAIM_PART).max(CLAIM_LEAST_MS);
-        let until = (self.wheel.now() + most_ms).min(ask.arrived + ask.patience_ms);
+        let most_ms = (routed.route.aim_ms * CLAIM_PART).max(CLAIM_LEAST_MS);
+        let until = (self.wheel.now() + most_ms).min(routed.arrived + routed.time_limit_ms);
         let mut claiming = Claiming::new(operation.id, operation.request);
-        let mut step = self.begin(&mut claiming, ask, client).await;
+        let mut step = self.begin(&mut claiming, routed, client).await;
         loop {
             step = match step {
                 Step::Claim(call) => {
@@ -188,28 +188,28 @@
                     }
                 }
                 Step::Recall(call) => {
-                    let answer = self.await_holder(&call, ask, client).await;
+                    let answer = self.await_holder(&call, routed, client).await;
                     let mut table = self.operations.borrow_mut();
                     claiming.recalled(self.wheel.now(), &mut table, call.claimant, answer)
                 }
-                Step::Refused(refusal) => return Err(refused(&refusal, ask)),
+                Step::Refused(refusal) => return Err(refused(&refusal, routed)),
             };
         }
     }
 
     /// What the request may do once no other one of its key is at work here, or its time is up.
-    async fn begin(&self, claiming: &mut Claiming, ask: &Ask, client: &Client) -> Step {
+    async fn begin(&self, claiming: &mut Claiming, routed: &RoutedRequest, client: &Client) -> Step {
         loop {
             let step = claiming.begin(self.wheel.now(), &mut self.operations.borrow_mut());
-            if step != Step::Refused(Refusal::AtWork) || !self.waits(ask, client, LOOK_MS).await {
+            if step != Step::Refused(Refusal::AtWork) || !self.waits(routed, client, LOOK_MS).await {
                 return step;
             }
         }
     }
 
     /// Waits before another look at a first request that is at work; `false`: there is no time for it, or nobody waits.
-    async fn waits(&self, ask: &Ask, client: &Client, ms: f64) -> bool {
-        let until = ask.arrived + ask.patience_ms - AT_WORK_MARGIN_MS;
+    async fn waits(&self, routed: &RoutedRequest, client: &Client, ms: f64) -> bool {
+        let until = routed.arrived + routed.time_limit_ms - AT_WORK_MARGIN_MS;
         if client.is_closed() || self.wheel.now() + ms > until {
             return false;
         }
@@ -218,11 +218,16 @@
     }
 
     /// The holder's word once its request is no longer at work, or this one's time is up.
-    async fn await_holder(&self, call: &RecallCall, ask: &Ask, client: &Client) -> Option<RecallAnswer> {
+    async fn await_holder(
+        &self,
+        call: &RecallCall,
+        routed: &RoutedRequest,
+        client: &Client,
+    ) -> Option<RecallAnswer> {
         loop {
-            let answer = self.ask_holder(call, ask).await;
+            let answer = self.ask_holder(call, routed).await;
             let at_work = answer == Some(RecallAnswer::InProgress);
-            if !at_work || !self.waits(ask, client, LOOK_ELSEWHERE_MS).await {
+            if !at_work || !self.waits(routed, client, LOOK_ELSEWHERE_MS).await {
                 return answer;
             }
         }
@@ -243,8 +248,8 @@
         answer
     }
 
-    async fn ask_holder(&self, call: &RecallCall, ask: &Ask) -> Option<RecallAnswer> {
-        let left_ms = ask.arrived + ask.patience_ms - self.wheel.now();
+    async fn ask_holder(&self, call: &RecallCall, routed: &RoutedRequest) -> Option<RecallAnswer> {
+        let left_ms = routed.arrived + routed.time_limit_ms - self.wheel.now();
         let answer = self.claims.recall(call, left_ms.min(RECALL_MS)).await;
         if answer.is_none() {
             count(&self.counts.holder_silent);
@@ -258,11 +263,11 @@
     pub(super) fn operation(
         &self,
         head: &RequestHead,
-        ask: &Ask,
+        routed: &RoutedRequest,
         body: &Body,
     ) -> Result<Option<Operation>, LocalReply> {
         let keyed = self.keyed.borrow();
-        let Some(keyed) = keyed.as_ref().filter(|_| ask.route.keyed) else { return Ok(None) };
+        let Some(keyed) = keyed.as_ref().filter(|_| routed.route.keyed) else { return Ok(None) };
         let key = head.headers.single("x-operation-key");
         let key = key.map_err(|_| LocalReply::new(400, "two X-Operation-Key"))?;
         let Some(key) = key.filter(|key| !key.is_empty()) else { return Ok(None) };
@@ -274,13 +279,13 @@
             Body::Whole(bytes) => Some(&bytes[..]),
             Body::Streamed(_) => None,
         };
-        let id = OperationId::of(ask.tenant.as_ref().map(|tenant| &*tenant.name), key);
+        let id = OperationId::of(routed.tenant.as_ref().map(|tenant| &*tenant.name), key);
         Ok(Some(Operation { id, request: request_digest(&head.method, &head.target, body) }))
     }
 
     /// Runs an operation unless another try has claimed it, whether or not its client waits. Dropping this doesn't end it.
     pub(super) async fn run_once(self: Rc<Self>, operation: Operation, request: AdmittedRequest) -> Reply {
-        let Some(keyed) = self.keyed.borrow().clone() else { return self.send(request).await };
+        let Some(keyed) = self.keyed.borrow().clone() else { return self.send_to_server(request).await };
         let (to, reply) = oneshot::channel();
         tokio::task::spawn_local(async move {
             let reply = self.claim_and_send(&keyed, operation, request, &to).await;
@@ -298,25 +303,28 @@
         request: AdmittedRequest,
         client: &Client,
     ) -> Reply {
-        let mut claim = match keyed.claim(operation, &request.ask, client).await {
+        let mut claim = match keyed.claim(operation, &request.routed, client).await {
             Ok(claim) => claim,
             Err(reply) => return reply,
         };
-        let AdmittedRequest { head, ask, body, unit_until } = request;
+        let AdmittedRequest { head, routed, body, unit_until } = request;
         // Much may have changed while the claim was under way.
-        let ask = match self.in_time(ask).and_then(|ask| self.stale(KEYS_STALE).map_or(Ok(ask), Err)) {
-            Ok(ask) => ask,
+        let routed = match self
+            .limit_to_shutdown(routed)
+            .and_then(|routed| self.stale_reply(KEYS_STALE).map_or(Ok(routed), Err))
+        {
+            Ok(routed) => routed,
             Err(own) => return Reply::Local(own),
         };
         if client.is_closed() {
-            return Reply::Local(LocalReply::refusal(503, "the client has gone", ELSEWHERE_PAUSE_MS));
+            return Reply::Local(LocalReply::refusal(503, "the client has gone", SHUTDOWN_PAUSE_MS));
         }
-        let unit_until = match self.renew_unit(&ask, unit_until).await {
+        let unit_until = match self.renew_unit(&routed, unit_until).await {
             Ok(until) => until,
             Err(own) => return Reply::Local(own),
         };
         claim.exposed = true;
-        let reply = self.send(AdmittedRequest { head, ask, body, unit_until }).await;
+        let reply = self.send_to_server(AdmittedRequest { head, routed, body, unit_until }).await;
         claim.settle(&reply);
         reply
     }
@@ -324,9 +332,9 @@
 
 impl Frontend {
     /// Until when the request's unit is good: a new one's where it ran out while the claim was under way.
-    async fn renew_unit(&self, ask: &Ask, unit_until: f64) -> Result<f64, LocalReply> {
+    async fn renew_unit(&self, routed: &RoutedRequest, unit_until: f64) -> Result<f64, LocalReply> {
         match unit_until < self.wheel.now() {
-            true => self.admit(ask).await,
+            true => self.acquire_unit(routed).await,
             false => Ok(unit_until),
         }
     }
@@ -336,11 +344,11 @@
     cell.set(cell.get() + 1);
 }
 
-fn refused(refusal: &Refusal, ask: &Ask) -> Reply {
+fn refused(refusal: &Refusal, routed: &RoutedRequest) -> Reply {
     Reply::Local(match refusal {
         Refusal::Answered(answer) => {
             return answer
-                .for_attempt(&ask.attempt_id)
+                .for_attempt(&routed.attempt_id)
                 .map_or_else(|| Reply::Local(in_doubt()), Reply::Served)
         }
         Refusal::AtWork => LocalReply::refusal(409, "the operation is at work", AT_WORK_PAUSE_MS),
