--- a/crates/edge/src/frontend/connection.rs
+++ b/crates/edge/src/frontend/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: requests in, answers out in the same order, some of them at work at once.
+//! One client's connection: reads pipelined requests, processes some of them concurrently, and writes the answers in order.
 
 use super::lifecycle::Entry;
 use super::{count, Frontend, RoutedRequest};
@@ -18,61 +18,64 @@
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::sync::mpsc::{self, error::TryRecvError, error::TrySendError, OwnedPermit};
 
-/// Most requests of one connection at work at once: what a client sends ahead beyond them stays unread.
-const MOST_AHEAD: usize = 8;
-/// Parts of a streamed request on their way at once.
-const PARTS: usize = 2;
-/// Longest part, bytes.
-const MOST_PART: usize = 16 * 1024;
-/// Most bytes read ahead of what can be dealt with yet.
-const MOST_UNREAD: usize = 16 * 1024;
-/// After the last answer: how long the client has to close, ms, and how many bytes it may still send. Closing with
-/// bytes unread would reset the connection, and the answer with it.
+/// Most requests of one connection that are processed at once: further pipelined requests stay unread.
+const MAX_PIPELINED: usize = 8;
+/// Capacity of the channel for a streamed body, parts.
+const PART_CHANNEL_CAPACITY: usize = 2;
+/// Size limit of a part of a streamed body, bytes.
+const MAX_PART_BYTES: usize = 16 * 1024;
+/// Most bytes that are read before they can be parsed or forwarded.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// After the last answer: how long the client may take to close the connection, ms, and how many bytes it may still send.
+/// Closing with unread bytes would reset the connection and could lose the answer.
 const LINGER_MS: f64 = 1_000.0;
-const MOST_LINGERED: usize = 256 * 1024;
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
 /// What is being read.
 enum Reading {
-    /// A head, or nothing: between requests.
+    /// The head of the next request, if any.
     Head,
-    /// A head is read, and its request waits until those before it are answered.
-    Held(Box<(RequestHead, f64)>),
-    /// A body that is handed on whole.
+    /// Nothing: a head has been read, and its request waits until the earlier ones are answered.
+    Deferred(Box<(RequestHead, f64)>),
+    /// A body that is forwarded once it is complete.
     Whole(Box<Whole>),
-    /// A body that is handed on as it comes.
+    /// A body that is forwarded as it is received.
     Upload(Box<Upload>),
-    /// A short body of a request that has been answered without it.
+    /// A short body of a request that has already been answered; it is dropped.
     Discard(BodyReader),
-    /// Nothing more: the answers that are due are the last.
-    Over,
+    /// Nothing more: the connection is closed after the answers that are due.
+    Closed,
 }
 
+/// A request whose body is being read as a whole.
 struct Whole {
     head: RequestHead,
     routed: RoutedRequest,
     reader: BodyReader,
-    held: BytesMut,
+    received: BytesMut,
 }
 
-/// Room for one more part; `None`: nobody takes it.
-type Room = Pin<Box<dyn Future<Output = Option<OwnedPermit<Part>>>>>;
+/// Waits for capacity for one more part; `None`: the receiver is closed.
+type Capacity = Pin<Box<dyn Future<Output = Option<OwnedPermit<Part>>>>>;
 
+/// A body that is being forwarded as it is received.
 struct Upload {
     reader: BodyReader,
-    /// The client keeps the connection.
-    keep: bool,
-    /// `None`: nobody wants the rest.
-    to: Option<mpsc::Sender<Part>>,
-    /// Parts without room yet; nothing more is read meanwhile.
+    /// The connection stays open after the request.
+    keep_alive: bool,
+    /// `None`: the rest of the body is not needed.
+    sender: Option<mpsc::Sender<Part>>,
+    /// Parts that wait for capacity; nothing is read from the client meanwhile.
     backlog: VecDeque<Part>,
-    room: Option<Room>,
+    capacity: Option<Capacity>,
 }
 
-/// A request that is to be answered.
-struct Waiting {
-    /// Its answer may break off, and the connection with it.
+/// A request that is not yet answered.
+struct Pending {
+    /// Its answer may be streamed, and may break off and close the connection.
     large_answer: bool,
-    work: Option<Pin<Box<dyn Future<Output = Reply>>>>,
+    /// Produces the reply; `None` once it is there.
+    handler: Option<Pin<Box<dyn Future<Output = Reply>>>>,
     reply: Option<Reply>,
     attempt_id: Option<String>,
     is_head: bool,
@@ -80,48 +83,54 @@
 }
 
 enum Event {
-    /// The next answer is there.
+    /// The next answer can be written.
     Answer,
-    /// Something else has moved.
-    Stirred,
-    /// A time is up.
-    Late,
-    /// The client is gone, or the connection is idle and to end.
-    Gone,
+    /// Bytes were read, a part was forwarded, or the shutdown has begun.
+    Progress,
+    /// The time limit of the present state has passed.
+    TimedOut,
+    /// The client has closed the connection, or it is idle and to be evicted.
+    Closed,
 }
 
-/// How an answer ended.
+/// The result of writing an answer.
 enum Written {
-    /// More may come on the connection.
-    Kept,
-    /// It was the last one.
+    /// Written completely; the connection stays open.
+    KeepOpen,
+    /// Written completely, as the last one of the connection.
     Last,
-    /// It did not get through whole: the connection must break.
+    /// Not written completely: the connection must be closed at once.
     Broken,
 }
 
+/// One client's connection.
 pub(super) struct ClientConnection<S> {
     front: Rc<Frontend>,
     io: S,
     entry: Entry,
-    from: BytesMut,
+    /// Bytes received and not yet parsed.
+    input: BytesMut,
     reading: Reading,
-    queue: VecDeque<Waiting>,
-    /// When the connection fell idle, and when the client last moved a head or a body on, ms of the program's clock.
+    /// The requests not yet answered, in order.
+    queue: VecDeque<Pending>,
+    /// When the connection became idle, ms of the program's clock.
     idle_since: f64,
-    moved: f64,
-    /// How long it may be idle, as the client was told, ms: a new configuration doesn't shorten it.
+    /// When the client last made progress on a head or a body, ms of the program's clock.
+    last_progress: f64,
+    /// Idle time-out that was sent to the client, ms: a new configuration doesn't shorten it.
     idle_ms: f64,
-    /// A head has begun to come.
-    begun: bool,
-    /// `100 Continue` is due.
-    go_on: bool,
-    /// Bytes read and thrown away at the end.
-    spilt: usize,
-    left: bool,
+    /// Part of a head has been received.
+    head_begun: bool,
+    /// `100 Continue` is to be sent.
+    send_continue: bool,
+    /// Bytes that were read and dropped after the last request.
+    dropped_bytes: usize,
+    /// The connection has seen that the shutdown has begun.
+    saw_shutdown: bool,
     /// An answer is being written.
     writing: bool,
-    alarm: Option<(f64, Sleep)>,
+    /// The timer for the present state, with its time, ms of the program's clock.
+    timer: Option<(f64, Sleep)>,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
@@ -133,50 +142,51 @@
             front,
             io,
             entry,
-            from: BytesMut::new(),
+            input: BytesMut::new(),
             reading: Reading::Head,
             queue: VecDeque::new(),
             idle_since: now,
-            moved: now,
+            last_progress: now,
             idle_ms,
-            begun: false,
-            go_on: false,
-            spilt: 0,
-            left: false,
+            head_begun: false,
+            send_continue: false,
+            dropped_bytes: 0,
+            saw_shutdown: false,
             writing: false,
-            alarm: None,
+            timer: None,
         }
     }
 
-    /// Serves the connection to its end.
+    /// Serves the connection until it is closed.
     pub(super) async fn run(mut self) {
         loop {
             self.advance();
-            if std::mem::take(&mut self.go_on) {
+            if std::mem::take(&mut self.send_continue) {
                 let mut text = &b"HTTP/1.1 100 Continue\r\n\r\n"[..];
                 if !self.write(&mut text).await {
                     return;
                 }
             }
-            if matches!(self.reading, Reading::Over) && self.queue.is_empty() {
-                return self.linger().await; // A rest of a body did not come as stated; its answer has been given.
+            if matches!(self.reading, Reading::Closed) && self.queue.is_empty() {
+                // The rest of a body was malformed or late, and its request has been answered.
+                return self.linger().await;
             }
-            if self.from.is_empty() {
-                // Idle connections are many: they hold no buffer.
-                self.from = BytesMut::new();
+            if self.input.is_empty() {
+                // Frees the buffer: there are many idle connections.
+                self.input = BytesMut::new();
             }
-            let idle = self.idle();
+            let idle = self.is_idle();
             self.entry.set_idle(idle.then_some(self.idle_since));
             match poll_fn(|context| self.poll_event(context)).await {
-                Event::Answer => match self.answer().await {
-                    Written::Kept => {}
+                Event::Answer => match self.write_answer().await {
+                    Written::KeepOpen => {}
                     Written::Last => return self.linger().await,
                     Written::Broken => return,
                 },
-                Event::Stirred => {}
-                Event::Late if self.idle() => return,
-                Event::Late => self.late(),
-                Event::Gone => {
+                Event::Progress => {}
+                Event::TimedOut if self.is_idle() => return,
+                Event::TimedOut => self.on_timeout(),
+                Event::Closed => {
                     if !self.queue.is_empty() {
                         count(&self.front.counts.client_gone);
                     }
@@ -186,70 +196,70 @@
         }
     }
 
-    /// No request has begun to come, and none is unanswered.
-    fn idle(&self) -> bool {
-        self.queue.is_empty() && self.from.is_empty() && matches!(self.reading, Reading::Head)
+    /// No request is being received, and none is unanswered.
+    fn is_idle(&self) -> bool {
+        self.queue.is_empty() && self.input.is_empty() && matches!(self.reading, Reading::Head)
     }
 
     // ---- waiting
 
     fn poll_event(&mut self, context: &mut Context<'_>) -> Poll<Event> {
         self.entry.connection.set_waker(context.waker());
-        self.poll_work(context);
+        self.poll_handlers(context);
         if self.queue.front().is_some_and(|first| first.reply.is_some()) {
             return Poll::Ready(Event::Answer);
         }
         if let Reading::Upload(upload) = &mut self.reading {
-            if let Some(room) = &mut upload.room {
-                if let Poll::Ready(permit) = room.as_mut().poll(context) {
-                    upload.room = None;
+            if let Some(capacity) = &mut upload.capacity {
+                if let Poll::Ready(permit) = capacity.as_mut().poll(context) {
+                    upload.capacity = None;
                     match (permit, upload.backlog.pop_front()) {
                         (Some(permit), Some(part)) => drop(permit.send(part)),
-                        _ => upload.to = None,
+                        _ => upload.sender = None,
                     }
-                    self.moved = self.front.wheel.now();
-                    return Poll::Ready(Event::Stirred);
+                    self.last_progress = self.front.wheel.now();
+                    return Poll::Ready(Event::Progress);
                 }
             }
         }
-        if let Poll::Ready(there) = self.poll_read(context) {
-            return Poll::Ready(if there { Event::Stirred } else { Event::Gone });
+        if let Poll::Ready(open) = self.poll_read(context) {
+            return Poll::Ready(if open { Event::Progress } else { Event::Closed });
         }
-        // After the last look at the socket: a request that has come in time is served.
-        if self.entry.connection.is_evicted() && self.idle() {
-            return Poll::Ready(Event::Gone);
+        // Only after reading from the socket: a request that has already arrived is served.
+        if self.entry.connection.is_evicted() && self.is_idle() {
+            return Poll::Ready(Event::Closed);
         }
-        let leaving = self.front.lifecycle.is_shutting_down();
-        if std::mem::replace(&mut self.left, leaving) != leaving {
-            return Poll::Ready(Event::Stirred);
+        let shutting_down = self.front.lifecycle.is_shutting_down();
+        if std::mem::replace(&mut self.saw_shutdown, shutting_down) != shutting_down {
+            return Poll::Ready(Event::Progress);
         }
-        self.poll_alarm(context)
+        self.poll_timer(context)
     }
 
-    /// Moves the requests at work on; at the program's end those that have no answer yet are told so.
-    fn poll_work(&mut self, context: &mut Context<'_>) {
+    /// Polls the handlers of the unanswered requests; at the end of the shutdown, answers those that are still pending.
+    fn poll_handlers(&mut self, context: &mut Context<'_>) {
         let ended = self.front.lifecycle.is_failing_unanswered();
-        for waiting in &mut self.queue {
-            let Some(work) = &mut waiting.work else { continue };
-            if let Poll::Ready(reply) = work.as_mut().poll(context) {
-                (waiting.work, waiting.reply) = (None, Some(reply));
+        for pending in &mut self.queue {
+            let Some(handler) = &mut pending.handler else { continue };
+            if let Poll::Ready(reply) = handler.as_mut().poll(context) {
+                (pending.handler, pending.reply) = (None, Some(reply));
             } else if ended {
                 count(&self.front.counts.cut_by_end);
-                let late = LocalReply::new(504, "the gateway ended before a server had answered");
-                (waiting.work, waiting.reply) = (None, Some(Reply::Local(late)));
+                let timed_out = LocalReply::new(504, "the gateway ended before a server had answered");
+                (pending.handler, pending.reply) = (None, Some(Reply::Local(timed_out)));
             }
         }
     }
 
-    /// Reads what can be dealt with; `false`: the client is gone.
+    /// Reads as much as can be processed; `false`: the client has closed the connection.
     fn poll_read(&mut self, context: &mut Context<'_>) -> Poll<bool> {
-        let wanted = match &self.reading {
-            Reading::Upload(upload) => upload.backlog.is_empty() && self.from.len() < MOST_UNREAD,
-            Reading::Over => self.spilt < MOST_UNREAD,
+        let reads = match &self.reading {
+            Reading::Upload(upload) => upload.backlog.is_empty() && self.input.len() < MAX_READ_AHEAD_BYTES,
+            Reading::Closed => self.dropped_bytes < MAX_READ_AHEAD_BYTES,
             Reading::Head if self.queue.is_empty() && !self.writing => true,
-            _ => self.from.len() < MOST_UNREAD,
+            _ => self.input.len() < MAX_READ_AHEAD_BYTES,
         };
-        if !wanted {
+        if !reads {
             return Poll::Pending;
         }
         let mut scratch = self.front.read_buffer.borrow_mut();
@@ -261,182 +271,190 @@
             Poll::Ready(Ok(())) => {}
         }
         match self.reading {
-            Reading::Over => self.spilt += space.filled().len(),
-            // The time of a head runs from its first byte, that of a body from its last one.
-            Reading::Head if self.begun => self.from.extend_from_slice(space.filled()),
+            Reading::Closed => self.dropped_bytes += space.filled().len(),
+            // The time limit of a head runs from its first byte, that of a body from the last byte received.
+            Reading::Head if self.head_begun => self.input.extend_from_slice(space.filled()),
             _ => {
-                self.from.extend_from_slice(space.filled());
-                self.moved = self.front.wheel.now();
+                self.input.extend_from_slice(space.filled());
+                self.last_progress = self.front.wheel.now();
             }
         }
         Poll::Ready(true)
     }
 
-    /// When the present state must have ended, ms of the program's clock.
-    fn due(&self) -> f64 {
+    /// When the present state times out, ms of the program's clock.
+    fn deadline(&self) -> f64 {
         let bounds = &self.front.table.get().bounds;
         let lifecycle = &self.front.lifecycle;
         match &self.reading {
-            Reading::Head if self.idle() => {
+            Reading::Head if self.is_idle() => {
                 (self.idle_since + self.idle_ms).min(lifecycle.idle_until(self.idle_since))
             }
-            Reading::Head if self.begun => self.moved + bounds.head_ms,
+            Reading::Head if self.head_begun => self.last_progress + bounds.head_ms,
             Reading::Whole(whole) => {
-                (self.moved + bounds.head_ms).min(whole.routed.arrived + whole.routed.time_limit_ms)
+                (self.last_progress + bounds.head_ms).min(whole.routed.arrived + whole.routed.time_limit_ms)
             }
-            Reading::Discard(_) => self.moved + bounds.head_ms,
-            Reading::Upload(upload) if upload.backlog.is_empty() => self.moved + bounds.head_ms,
+            Reading::Discard(_) => self.last_progress + bounds.head_ms,
+            Reading::Upload(upload) if upload.backlog.is_empty() => self.last_progress + bounds.head_ms,
             _ => f64::INFINITY,
         }
     }
 
-    /// One timer a connection, which is moved only when it would ring too late.
-    fn poll_alarm(&mut self, context: &mut Context<'_>) -> Poll<Event> {
-        let due = self.due();
+    /// Polls the connection's only timer, which is set anew only if it would fire too late.
+    fn poll_timer(&mut self, context: &mut Context<'_>) -> Poll<Event> {
+        let deadline = self.deadline();
         loop {
-            if due == f64::INFINITY {
+            if deadline == f64::INFINITY {
                 return Poll::Pending;
             }
-            match &mut self.alarm {
-                Some((at, sleep)) if *at <= due => {
+            match &mut self.timer {
+                Some((set_for, sleep)) if *set_for <= deadline => {
                     if Pin::new(sleep).poll(context).is_pending() {
                         return Poll::Pending;
                     }
-                    self.alarm = None;
-                    if self.front.wheel.now() >= due {
-                        return Poll::Ready(Event::Late);
+                    self.timer = None;
+                    if self.front.wheel.now() >= deadline {
+                        return Poll::Ready(Event::TimedOut);
                     }
                 }
-                _ => self.alarm = Some((due, self.front.wheel.sleep_until(due))),
+                _ => self.timer = Some((deadline, self.front.wheel.sleep_until(deadline))),
             }
         }
     }
 
-    /// The time of the present state is up.
-    fn late(&mut self) {
+    /// Handles the time-out of the present state.
+    fn on_timeout(&mut self) {
         match &mut self.reading {
             Reading::Head | Reading::Whole(_) => {
-                self.own(LocalReply::new(408, "request not whole in time"), None, false, 1);
-                self.reading = Reading::Over;
+                self.queue_local_reply(LocalReply::new(408, "request not whole in time"), None, false, 1);
+                self.reading = Reading::Closed;
             }
-            // It has been passed on: its answer stands, and tells whether it ran.
-            Reading::Upload(_) | Reading::Discard(_) => self.reading = Reading::Over,
-            Reading::Held(_) | Reading::Over => {}
+            // The request has been forwarded or answered: its answer stays valid, and says whether it was executed.
+            Reading::Upload(_) | Reading::Discard(_) => self.reading = Reading::Closed,
+            Reading::Deferred(_) | Reading::Closed => {}
         }
     }
 
     // ---- reading
 
-    /// Deals with what has been read as far as it goes.
+    /// Processes the received bytes as far as possible.
     fn advance(&mut self) {
         loop {
-            let reading = std::mem::replace(&mut self.reading, Reading::Over);
-            let (next, on) = match reading {
+            let reading = std::mem::replace(&mut self.reading, Reading::Closed);
+            let (next, proceed) = match reading {
                 Reading::Head => self.read_head(),
-                Reading::Held(held) if self.queue.is_empty() => (self.begin(held.0, held.1), true),
+                Reading::Deferred(deferred) if self.queue.is_empty() => {
+                    (self.begin(deferred.0, deferred.1), true)
+                }
                 Reading::Whole(whole) => self.read_whole(whole),
                 Reading::Upload(upload) => self.read_upload(upload),
                 Reading::Discard(reader) => self.discard(reader),
-                held @ Reading::Held(_) => (held, false),
-                Reading::Over => {
-                    self.from.clear();
-                    (Reading::Over, false)
+                deferred @ Reading::Deferred(_) => (deferred, false),
+                Reading::Closed => {
+                    self.input.clear();
+                    (Reading::Closed, false)
                 }
             };
             self.reading = next;
-            if !on {
+            if !proceed {
                 return;
             }
         }
     }
 
-    /// The next state, and whether to go on at once.
+    /// Returns the next state, and whether to go on in it at once.
     fn read_head(&mut self) -> (Reading, bool) {
         let ahead = self.queue.len();
-        // Once it is leaving, the last answer due closes: what was sent behind it stays unread.
-        if ahead >= MOST_AHEAD || (ahead > 0 && self.front.lifecycle.is_shutting_down()) {
-            self.begun = false;
+        // During shutdown the last pending answer closes the connection: requests pipelined behind it stay unread.
+        if ahead >= MAX_PIPELINED || (ahead > 0 && self.front.lifecycle.is_shutting_down()) {
+            self.head_begun = false;
             return (Reading::Head, false);
         }
         let now = self.front.wheel.now();
-        let most = self.front.table.get().bounds.head;
-        match read_request_head(&mut self.from, most) {
+        let max_head_bytes = self.front.table.get().bounds.head;
+        match read_request_head(&mut self.input, max_head_bytes) {
             Ok(None) => {
-                if !self.begun && !self.from.is_empty() {
-                    (self.begun, self.moved) = (true, now);
+                if !self.head_begun && !self.input.is_empty() {
+                    (self.head_begun, self.last_progress) = (true, now);
                 }
                 (Reading::Head, false)
             }
             Ok(Some(head)) => {
-                (self.begun, self.moved) = (false, now);
+                (self.head_begun, self.last_progress) = (false, now);
                 count(&self.front.counts.requests);
-                if ahead > 0 && !self.may_go_ahead(&head) {
-                    return (Reading::Held(Box::new((head, now))), false);
+                if ahead > 0 && !self.may_run_concurrently(&head) {
+                    return (Reading::Deferred(Box::new((head, now))), false);
                 }
                 (self.begin(head, now), true)
             }
             Err(error) => {
-                self.own(improper(&error), None, false, 1);
-                (Reading::Over, true)
+                self.queue_local_reply(malformed(&error), None, false, 1);
+                (Reading::Closed, true)
             }
         }
     }
 
-    /// It may be at work while others before it are: repeatable, its body, if any, short and on its way, and none before it
-    /// whose answer may break the connection off, so that its own could never be given.
-    fn may_go_ahead(&self, head: &RequestHead) -> bool {
-        if self.queue.iter().any(|waiting| waiting.large_answer) {
+    /// Whether the request may be processed while earlier ones are: it must be repeatable, with no body or a short one that
+    /// the client sends without waiting, and no earlier answer may break off and close the connection before its own.
+    fn may_run_concurrently(&self, head: &RequestHead) -> bool {
+        if self.queue.iter().any(|pending| pending.large_answer) {
             return false;
         }
         let short = matches!(head.framing, Framing::Length(length) if length <= MOST_WHOLE);
         short && !head.expects_continue() && self.front.is_repeatable(head)
     }
 
-    /// Begins with a request whose head is there.
+    /// Begins a request whose head has been read.
     fn begin(&mut self, head: RequestHead, arrived: f64) -> Reading {
-        let (framing, expects) = (head.framing, head.expects_continue());
+        let (framing, expects_continue) = (head.framing, head.expects_continue());
         let reader = match BodyReader::new(framing, self.front.table.get().bounds.body) {
             Ok(reader) => reader,
-            Err(error) => return self.turn_away(&head, improper(&error), None),
+            Err(error) => return self.reject(&head, malformed(&error), None),
         };
         let routed = match self.front.route_request(&head, arrived) {
             Ok(routed) => routed,
-            Err(own) => return self.turn_away(&head, own, Some(reader)),
+            Err(reply) => return self.reject(&head, reply, Some(reader)),
         };
         if reader.is_complete() {
             return self.start(head, routed, Body::Whole(Bytes::new()));
         }
-        self.go_on = expects && self.from.is_empty();
+        self.send_continue = expects_continue && self.input.is_empty();
         match framing {
             Framing::Length(length) if length > MOST_WHOLE => {
-                self.upload(head, routed, reader, Some(length as u64), VecDeque::new())
+                self.start_upload(head, routed, reader, Some(length as u64), VecDeque::new())
             }
-            _ => Reading::Whole(Box::new(Whole { head, routed, reader, held: BytesMut::new() })),
+            _ => Reading::Whole(Box::new(Whole { head, routed, reader, received: BytesMut::new() })),
         }
     }
 
-    /// Answers a request that goes no further, and finds out whether the connection can be kept.
-    fn turn_away(&mut self, head: &RequestHead, own: LocalReply, reader: Option<BodyReader>) -> Reading {
+    /// Answers a request that is not forwarded; the connection stays open if the rest of the body can be skipped.
+    fn reject(&mut self, head: &RequestHead, reply: LocalReply, reader: Option<BodyReader>) -> Reading {
         let id = head.headers.get("x-attempt-id").map(str::to_string);
-        self.own(own, id, head.method == "HEAD", head.minor);
+        self.queue_local_reply(reply, id, head.method == "HEAD", head.minor);
         match (reader, head.framing) {
-            (Some(reader), _) if reader.is_complete() => after(head.keep_alive),
-            // A client that waits for a word before it sends its body may send none now.
+            (Some(reader), _) if reader.is_complete() => after_request(head.keep_alive),
+            // After `Expect: 100-continue`, the client may or may not send its body now.
             (Some(reader), Framing::Length(length))
                 if length <= MOST_WHOLE && head.keep_alive && !head.expects_continue() =>
             {
                 Reading::Discard(reader)
             }
-            _ => Reading::Over,
+            _ => Reading::Closed,
         }
     }
 
-    /// Queues an answer of the gateway itself.
-    fn own(&mut self, own: LocalReply, attempt_id: Option<String>, is_head: bool, http_minor: u8) {
-        let reply = Some(Reply::Local(own));
-        self.queue.push_back(Waiting {
+    /// Queues an answer made by the gateway.
+    fn queue_local_reply(
+        &mut self,
+        reply: LocalReply,
+        attempt_id: Option<String>,
+        is_head: bool,
+        http_minor: u8,
+    ) {
+        let reply = Some(Reply::Local(reply));
+        self.queue.push_back(Pending {
             large_answer: false,
-            work: None,
+            handler: None,
             reply,
             attempt_id,
             is_head,
@@ -444,19 +462,19 @@
         });
     }
 
-    /// Sets a request to work; the next state.
+    /// Starts processing a request; returns the next state.
     fn start(&mut self, head: RequestHead, routed: RoutedRequest, body: Body) -> Reading {
-        let next = after(head.keep_alive);
+        let next = after_request(head.keep_alive);
         let (is_head, http_minor) = (head.method == "HEAD", head.minor);
         let attempt_id = Some(routed.attempt_id.clone());
         let large_answer = routed.route.large_answers;
-        let work = Some(Box::pin(self.front.clone().handle_request(head, routed, body)) as Pin<Box<_>>);
-        self.queue.push_back(Waiting { large_answer, work, reply: None, attempt_id, is_head, http_minor });
+        let handler = Some(Box::pin(self.front.clone().handle_request(head, routed, body)) as Pin<Box<_>>);
+        self.queue.push_back(Pending { large_answer, handler, reply: None, attempt_id, is_head, http_minor });
         next
     }
 
-    /// Sets a request to work whose body goes on as it comes.
-    fn upload(
+    /// Starts processing a request whose body is forwarded as it is received.
+    fn start_upload(
         &mut self,
         head: RequestHead,
         routed: RoutedRequest,
@@ -464,70 +482,77 @@
         length: Option<u64>,
         backlog: VecDeque<Part>,
     ) -> Reading {
-        let (to, parts) = mpsc::channel(PARTS);
-        let keep = head.keep_alive;
+        let (sender, parts) = mpsc::channel(PART_CHANNEL_CAPACITY);
+        let keep_alive = head.keep_alive;
         self.start(head, routed, Body::Streamed(Some(Stream { length, parts }).into()));
-        Reading::Upload(Box::new(Upload { reader, keep, to: Some(to), backlog, room: None }))
+        Reading::Upload(Box::new(Upload {
+            reader,
+            keep_alive,
+            sender: Some(sender),
+            backlog,
+            capacity: None,
+        }))
     }
 
     fn read_whole(&mut self, mut whole: Box<Whole>) -> (Reading, bool) {
         loop {
-            match whole.reader.next(&mut self.from) {
-                Ok(Chunk::Part(part)) if whole.held.is_empty() && whole.reader.is_complete() => {
+            match whole.reader.next(&mut self.input) {
+                Ok(Chunk::Part(part)) if whole.received.is_empty() && whole.reader.is_complete() => {
                     let Whole { head, routed, .. } = *whole;
                     return (self.start(head, routed, Body::Whole(part)), true);
                 }
-                Ok(Chunk::Part(part)) if whole.held.len() + part.len() > MOST_WHOLE => {
-                    let Whole { head, routed, reader, held } = *whole;
+                Ok(Chunk::Part(part)) if whole.received.len() + part.len() > MOST_WHOLE => {
+                    let Whole { head, routed, reader, received } = *whole;
                     let mut backlog = VecDeque::new();
-                    for mut bytes in [held.freeze(), part] {
+                    for mut bytes in [received.freeze(), part] {
                         while !bytes.is_empty() {
-                            backlog.push_back(Part::Data(bytes.split_to(bytes.len().min(MOST_PART))));
+                            backlog.push_back(Part::Data(bytes.split_to(bytes.len().min(MAX_PART_BYTES))));
                         }
                     }
-                    return (self.upload(head, routed, reader, None, backlog), true);
+                    return (self.start_upload(head, routed, reader, None, backlog), true);
                 }
-                Ok(Chunk::Part(part)) => whole.held.extend_from_slice(&part),
+                Ok(Chunk::Part(part)) => whole.received.extend_from_slice(&part),
                 Ok(Chunk::End) => {
-                    let Whole { head, routed, held, .. } = *whole;
-                    return (self.start(head, routed, Body::Whole(held.freeze())), true);
+                    let Whole { head, routed, received, .. } = *whole;
+                    return (self.start(head, routed, Body::Whole(received.freeze())), true);
                 }
                 Ok(Chunk::Incomplete) => return (Reading::Whole(whole), false),
-                Err(error) => return (self.turn_away(&whole.head, improper(&error), None), true),
+                Err(error) => return (self.reject(&whole.head, malformed(&error), None), true),
             }
         }
     }
 
     fn read_upload(&mut self, mut upload: Box<Upload>) -> (Reading, bool) {
         loop {
-            if let (Some(to), None) = (&upload.to, &upload.room) {
+            if let (Some(sender), None) = (&upload.sender, &upload.capacity) {
                 while let Some(part) = upload.backlog.pop_front() {
-                    match to.try_send(part) {
+                    match sender.try_send(part) {
                         Ok(()) => {}
                         Err(TrySendError::Full(part)) => {
                             upload.backlog.push_front(part);
-                            let to = to.clone();
-                            upload.room = Some(Box::pin(async move { to.reserve_owned().await.ok() }));
+                            let sender = sender.clone();
+                            upload.capacity =
+                                Some(Box::pin(async move { sender.reserve_owned().await.ok() }));
                             break;
                         }
                         Err(TrySendError::Closed(_)) => {
-                            upload.to = None;
+                            upload.sender = None;
                             break;
                         }
                     }
                 }
             }
-            if upload.to.is_none() {
-                // The answer is due; what still comes is of no use to anybody.
-                return (upload.rest(), true);
+            if upload.sender.is_none() {
+                // The request is about to be answered: the rest of its body is not needed.
+                return (upload.skip_rest(), true);
             }
             if !upload.backlog.is_empty() {
                 return (Reading::Upload(upload), false);
             }
             if upload.reader.is_complete() {
-                return (after(upload.keep), true);
+                return (after_request(upload.keep_alive), true);
             }
-            match upload.reader.next(&mut self.from) {
+            match upload.reader.next(&mut self.input) {
                 Ok(Chunk::Part(part)) => {
                     upload.backlog.push_back(Part::Data(part));
                     if upload.reader.is_complete() {
@@ -537,12 +562,12 @@
                 Ok(Chunk::End) => upload.backlog.push_back(Part::End),
                 Ok(Chunk::Incomplete) => return (Reading::Upload(upload), false),
                 Err(error) => {
-                    // No server has had it whole, and dropping the work tells the servers' side to let go.
-                    if let Some(waiting) = self.queue.back_mut() {
-                        waiting.work = None;
-                        waiting.reply = Some(Reply::Local(improper(&error)));
+                    // No server has received the complete request, and dropping the handler cancels it at the proxy.
+                    if let Some(pending) = self.queue.back_mut() {
+                        pending.handler = None;
+                        pending.reply = Some(Reply::Local(malformed(&error)));
                     }
-                    return (Reading::Over, true);
+                    return (Reading::Closed, true);
                 }
             }
         }
@@ -550,72 +575,73 @@
 
     fn discard(&mut self, mut reader: BodyReader) -> (Reading, bool) {
         loop {
-            match reader.next(&mut self.from) {
+            match reader.next(&mut self.input) {
                 Ok(Chunk::Part(_)) => {}
                 Ok(Chunk::End) => return (Reading::Head, true),
                 Ok(Chunk::Incomplete) => return (Reading::Discard(reader), false),
-                Err(_) => return (Reading::Over, true),
+                Err(_) => return (Reading::Closed, true),
             }
         }
     }
 
     // ---- writing
 
-    /// Writes the first of the answers, which is there.
-    async fn answer(&mut self) -> Written {
-        let Some(Waiting { reply: Some(reply), attempt_id, is_head, http_minor, .. }) =
+    /// Writes the first answer of the queue.
+    async fn write_answer(&mut self) -> Written {
+        let Some(Pending { reply: Some(reply), attempt_id, is_head, http_minor, .. }) =
             self.queue.pop_front()
         else {
             return Written::Broken;
         };
         if let (true, Reading::Upload(_)) = (self.queue.is_empty(), &self.reading) {
-            // Answered before its body was whole: nobody waits for the rest.
-            if let Reading::Upload(upload) = std::mem::replace(&mut self.reading, Reading::Over) {
-                self.reading = upload.rest();
+            // Answered before its body was complete: the rest is not needed.
+            if let Reading::Upload(upload) = std::mem::replace(&mut self.reading, Reading::Closed) {
+                self.reading = upload.skip_rest();
             }
         }
-        let leaving = self.front.lifecycle.is_shutting_down();
-        // Those behind that are at work have been passed on: they are answered first, whatever ends the connection.
-        let ends = leaving || self.entry.connection.is_evicted() || matches!(self.reading, Reading::Over);
-        let close = ends && self.queue.is_empty();
+        let shutting_down = self.front.lifecycle.is_shutting_down();
+        // Requests behind it have been forwarded: they are answered before the connection is closed, whatever the reason.
+        let closing =
+            shutting_down || self.entry.connection.is_evicted() || matches!(self.reading, Reading::Closed);
+        let close = closing && self.queue.is_empty();
         self.idle_ms = self.front.table.get().bounds.idle_ms;
-        let hop = ReplyContext { close, http_minor, is_head, idle_timeout_ms: self.idle_ms };
+        let context = ReplyContext { close, http_minor, is_head, idle_timeout_ms: self.idle_ms };
         self.writing = true;
-        let written = self.put(reply, attempt_id.as_deref(), &hop).await && self.io.flush().await.is_ok();
+        let written =
+            self.write_reply(reply, attempt_id.as_deref(), &context).await && self.io.flush().await.is_ok();
         self.writing = false;
-        (self.idle_since, self.moved) = (self.front.wheel.now(), self.front.wheel.now());
+        (self.idle_since, self.last_progress) = (self.front.wheel.now(), self.front.wheel.now());
         match (written, close) {
             (false, _) => Written::Broken,
             (true, true) => Written::Last,
-            (true, false) => Written::Kept,
+            (true, false) => Written::KeepOpen,
         }
     }
 
-    /// `false`: it did not get through whole.
-    async fn put(&mut self, reply: Reply, attempt_id: Option<&str>, hop: &ReplyContext) -> bool {
+    /// Writes an answer; `false`: it was not written completely.
+    async fn write_reply(&mut self, reply: Reply, attempt_id: Option<&str>, context: &ReplyContext) -> bool {
         let mut out = BytesMut::new();
-        let follows = match reply {
-            Reply::Local(own) => Err(own),
-            Reply::Served(served) => put_served_reply(&mut out, served, hop),
+        let body = match reply {
+            Reply::Local(reply) => Err(reply),
+            Reply::Served(served) => put_served_reply(&mut out, served, context),
         };
         let counts = &self.front.clone().counts;
-        let written = match follows {
-            Err(own) => {
-                counts.count_local_reply(own.status);
-                put_local_reply(&mut out, &own, attempt_id, hop);
+        let written = match body {
+            Err(reply) => {
+                counts.count_local_reply(reply.status);
+                put_local_reply(&mut out, &reply, attempt_id, context);
                 return self.write(&mut out).await;
             }
             Ok(ReplyBody::Empty) => self.write(&mut out).await,
             Ok(ReplyBody::Whole(body)) => self.write(&mut out.chain(body)).await,
-            Ok(ReplyBody::Streamed(stream)) => self.pump(out, stream).await,
+            Ok(ReplyBody::Streamed(stream)) => self.forward_body(out, stream).await,
         };
         count(if written { &counts.served } else { &counts.broken });
         written
     }
 
-    /// Passes a body on as it comes. `false`: it broke off; then nothing has been written that would make it look
-    /// complete.
-    async fn pump(&mut self, mut out: BytesMut, mut stream: Stream) -> bool {
+    /// Forwards a body as it is received. `false`: it broke off, and nothing has been written that makes it look complete.
+    async fn forward_body(&mut self, mut out: BytesMut, mut stream: Stream) -> bool {
         let mut left = stream.length;
         loop {
             let part = match stream.parts.try_recv() {
@@ -635,7 +661,7 @@
                         *left = rest;
                         self.write(&mut out.split().chain(bytes)).await
                     }
-                    // More than stated: the surplus would be taken for another answer.
+                    // Longer than stated: the client would read the surplus as the next answer.
                     None => false,
                 },
                 (Some(Part::Data(bytes)), None) => {
@@ -655,12 +681,13 @@
         }
     }
 
-    /// The next part; `None`: it broke off, or the client is gone. Meanwhile requests behind are at work.
+    /// The next part; `None`: the body broke off, or the client has closed the connection. The requests behind are processed
+    /// meanwhile.
     fn poll_part(&mut self, context: &mut Context<'_>, stream: &mut Stream) -> Poll<Option<Part>> {
         if let Poll::Ready(part) = stream.parts.poll_recv(context) {
             return Poll::Ready(part);
         }
-        self.poll_work(context);
+        self.poll_handlers(context);
         loop {
             match self.poll_read(context) {
                 Poll::Ready(true) => {}
@@ -670,35 +697,35 @@
         }
     }
 
-    /// Writes it all; `false`: the client is gone, or has not read for as long as a connection may be idle.
+    /// Writes all bytes; `false`: the connection is closed, or the client has read nothing for the idle time-out.
     async fn write(&mut self, bytes: &mut impl Buf) -> bool {
         while bytes.has_remaining() {
-            let mut step = pin!(self.io.write_buf(bytes));
-            // A timer only where it has to wait.
-            let wrote = match poll_fn(|context| Poll::Ready(step.as_mut().poll(context))).await {
-                Poll::Ready(wrote) => Some(wrote),
+            let mut write = pin!(self.io.write_buf(bytes));
+            // Sets a timer only if the write has to wait.
+            let result = match poll_fn(|context| Poll::Ready(write.as_mut().poll(context))).await {
+                Poll::Ready(result) => Some(result),
                 Poll::Pending => {
-                    let most = self.front.table.get().bounds.idle_ms;
-                    self.front.wheel.timeout(most, step).await
+                    let timeout = self.front.table.get().bounds.idle_ms;
+                    self.front.wheel.timeout(timeout, write).await
                 }
             };
-            if !matches!(wrote, Some(Ok(1..))) {
+            if !matches!(result, Some(Ok(1..))) {
                 return false;
             }
         }
         true
     }
 
-    /// After the last answer: closes its own direction, and waits for the client to close the other.
+    /// After the last answer: shuts down the write side and waits for the client to close its own.
     async fn linger(mut self) {
         self.entry.set_idle(Some(self.front.wheel.now()));
         self.entry.connection.evict();
-        (self.from, self.alarm) = (BytesMut::new(), None);
+        (self.input, self.timer) = (BytesMut::new(), None);
         let front = self.front.clone();
-        let drained = async {
-            let mut left = MOST_LINGERED;
-            let mut on = self.io.shutdown().await.is_ok();
-            while on && left > 0 {
+        let drain = async {
+            let mut left = MAX_LINGER_BYTES;
+            let mut open = self.io.shutdown().await.is_ok();
+            while open && left > 0 {
                 let read = poll_fn(|context| {
                     let mut scratch = front.read_buffer.borrow_mut();
                     let mut space = ReadBuf::new(&mut scratch);
@@ -706,34 +733,34 @@
                 });
                 let read = read.await.unwrap_or(0);
                 left = left.saturating_sub(read);
-                on = read > 0;
+                open = read > 0;
             }
         };
-        front.wheel.timeout(LINGER_MS, drained).await;
+        front.wheel.timeout(LINGER_MS, drain).await;
     }
 }
 
 impl Upload {
-    /// What to read once nobody wants the body any more: a short rest is read over, so that the connection can stay.
-    fn rest(self) -> Reading {
+    /// The next state once the body is not needed: a short rest is skipped, so that the connection can stay open.
+    fn skip_rest(self) -> Reading {
         match self.reader.stated_left() {
-            Some(left) if self.keep && left <= MOST_WHOLE as u64 => Reading::Discard(self.reader),
-            _ => Reading::Over,
+            Some(left) if self.keep_alive && left <= MOST_WHOLE as u64 => Reading::Discard(self.reader),
+            _ => Reading::Closed,
         }
     }
 }
 
-/// What to read after a request that is whole.
-fn after(keep: bool) -> Reading {
-    if keep {
+/// The next state after a complete request.
+fn after_request(keep_alive: bool) -> Reading {
+    if keep_alive {
         Reading::Head
     } else {
-        Reading::Over
+        Reading::Closed
     }
 }
 
-/// The answer to what is no proper request.
-fn improper(error: &HttpError) -> LocalReply {
+/// The answer to a malformed or too large request.
+fn malformed(error: &HttpError) -> LocalReply {
     match error {
         HttpError::HeadTooLarge => LocalReply::new(431, "head too large"),
         HttpError::BodyTooLarge => LocalReply::new(413, "body too large"),
--- a/crates/edge/src/frontend/keyed.rs
+++ b/crates/edge/src/frontend/keyed.rs
@@ -1,7 +1,7 @@
-//! Keyed operations: each is claimed at the core's leader before a server is asked, so that it runs once at most, and a
-//! repeat gets the first run's answer from the gateway that holds the claim.
+//! Keyed operations: each is claimed at the core's leader before it is sent to a server, so that it runs at most once. A
+//! repeated request gets the first one's answer from the gateway that holds the claim.
 //!
-//! A claimed request is served by a task of its own: a client that leaves ends neither the run nor the record of it.
+//! A claimed request runs in a task of its own: a client that disconnects ends neither the request nor its record.
 
 use super::{AdmittedRequest, Frontend, RoutedRequest, KEYS_STALE, SHUTDOWN_PAUSE_MS};
 use crate::claiming::{Claiming, Refusal, Step};
@@ -16,25 +16,25 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Part of a route's aim that may go by until a claim is granted.
-const CLAIM_PART: f64 = 0.5;
-/// At least so long is waited for a claim, ms.
-const CLAIM_LEAST_MS: f64 = 150.0;
-/// How long a holder is waited for, ms.
-const RECALL_MS: f64 = 500.0;
-/// Between two looks whether the first request of a key has ended: here, and at another gateway, ms.
-const LOOK_MS: f64 = 10.0;
-const LOOK_ELSEWHERE_MS: f64 = 100.0;
-/// A repeat that waits for the first request is told so long before its time is up that it is still at work, ms.
-const AT_WORK_MARGIN_MS: f64 = 150.0;
-/// Pause told while the first request of a key is at work, ms.
-const AT_WORK_PAUSE_MS: f64 = 150.0;
-/// Pause told where no claim could be had, ms.
+/// Part of a route's target time that getting a claim may take.
+const CLAIM_TIME_RATIO: f64 = 0.5;
+/// Shortest time limit for getting a claim, ms.
+const MIN_CLAIM_TIMEOUT_MS: f64 = 150.0;
+/// Time-out for a query to the gateway that holds a claim, ms.
+const RECALL_TIMEOUT_MS: f64 = 500.0;
+/// Interval for checking whether the first request of a key has ended, ms: at this gateway, and at another one.
+const LOCAL_POLL_MS: f64 = 10.0;
+const REMOTE_POLL_MS: f64 = 100.0;
+/// How long before its deadline a repeated request stops waiting for the first one and is answered 409, ms.
+const IN_PROGRESS_MARGIN_MS: f64 = 150.0;
+/// `Retry-After` while the first request of a key is in progress, ms.
+const IN_PROGRESS_PAUSE_MS: f64 = 150.0;
+/// `Retry-After` where a claim was not granted, ms.
 const CLAIM_PAUSE_MS: f64 = 250.0;
-/// Pause told where no claim is to be expected soon, ms.
+/// `Retry-After` where no claim can be expected soon, ms.
 const CUT_OFF_PAUSE_MS: f64 = 700.0;
 
-/// The table of this gateway's operations, and the way to claim them.
+/// The keyed operations of this gateway, and the means to claim them.
 pub struct KeyedOperations {
     wheel: Wheel,
     operations: Rc<RefCell<Operations>>,
@@ -42,43 +42,45 @@
     counts: KeyedCounts,
 }
 
-/// What became of claims, beside what the table counts.
+/// Outcomes of claims, in addition to the counts of [`Operations`].
 #[derive(Debug, Default)]
 pub struct KeyedCounts {
     /// Granted by the leader.
     pub granted: Cell<u64>,
-    /// How long those took, added up, ms.
+    /// Total time that granting them took, ms.
     pub granted_ms: Cell<f64>,
     /// Held by another claim.
     pub held: Cell<u64>,
     /// Not answered by the leader in time.
     pub unanswered: Cell<u64>,
-    /// Holders that did not answer.
+    /// Queries that the holder of a claim did not answer.
     pub holder_silent: Cell<u64>,
 }
 
-/// Where a client is told; closed once it has gone.
-type Client = oneshot::Sender<Reply>;
+/// Sends the answer to the client; closed once the client has disconnected.
+type ReplySender = oneshot::Sender<Reply>;
 
-/// An operation that a request is a try of.
+/// The operation that a request belongs to.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Operation {
     id: OperationId,
+    /// Digest of the request.
     request: u64,
 }
 
-/// A claim of this gateway until its end is recorded. Dropped before that it is released, or in doubt once a server may have
-/// been asked.
+/// A claim of this gateway until its outcome is recorded. If it is dropped before, the operation is released, or left in
+/// doubt if a server may have received the request.
 struct Claim {
     keyed: Rc<KeyedOperations>,
     id: OperationId,
     number: u64,
-    exposed: bool,
+    /// A server may have received the request.
+    may_have_run: bool,
 }
 
 impl Claim {
-    /// The run's end, as the client is told.
-    fn settle(mut self, reply: &Reply) {
+    /// Records the outcome that is sent to the client.
+    fn record(mut self, reply: &Reply) {
         let KeyedOperations { wheel, operations, .. } = &*self.keyed;
         match reply {
             Reply::Served(served) => {
@@ -86,8 +88,8 @@
                     operations.borrow_mut().answer(wheel.now(), self.id, self.number, answer);
                 }
             }
-            // It promises that no server has run it.
-            Reply::Local(own) if matches!(own.status, 429 | 503) => self.exposed = false,
+            // These statuses promise that no server has executed the request.
+            Reply::Local(refusal) if matches!(refusal.status, 429 | 503) => self.may_have_run = false,
             Reply::Local(_) => {}
         }
     }
@@ -96,7 +98,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         let (now, mut operations) = (self.keyed.wheel.now(), self.keyed.operations.borrow_mut());
-        match self.exposed {
+        match self.may_have_run {
             true => operations.doubt(now, self.id, self.number),
             false => operations.release(now, self.id, self.number),
         }
@@ -104,7 +106,7 @@
 }
 
 impl KeyedOperations {
-    /// Claims by these operations' table.
+    /// Keyed operations recorded in this table.
     pub fn new(
         wheel: Wheel,
         operations: Rc<RefCell<Operations>>,
@@ -113,73 +115,73 @@
         Rc::new(KeyedOperations { wheel, operations, claims, counts: KeyedCounts::default() })
     }
 
-    /// What became of claims so far.
+    /// The counts of claims since the start.
     pub fn counts(&self) -> &KeyedCounts {
         &self.counts
     }
 
-    /// The table.
+    /// The table of this gateway's operations.
     pub fn operations(&self) -> &Rc<RefCell<Operations>> {
         &self.operations
     }
 
-    /// The counts as a line for the log; `None`: there was no keyed request yet.
+    /// The counts as a log line; `None`: no claim was made yet.
     pub fn log_line(&self) -> Option<String> {
-        let (seen, KeyedCounts { granted, granted_ms, held, unanswered, holder_silent }) =
+        let (table, KeyedCounts { granted, granted_ms, held, unanswered, holder_silent }) =
             (self.operations.borrow().counts(), &self.counts);
         let (remembered, answers, bytes) = self.operations.borrow().held();
-        (seen.claims > 0).then(|| {
+        (table.claims > 0).then(|| {
             format!(
                 "event=operations claims={} granted={} granted_ms={:.0} held={} unanswered={} released={} answered={} in_doubt={} \
                  repeated={} recalls={} silent={} dropped={} remembered={remembered} kept={answers} kept_bytes={bytes}",
-                seen.claims,
+                table.claims,
                 granted.get(),
                 granted_ms.get(),
                 held.get(),
                 unanswered.get(),
-                seen.released,
-                seen.answered,
-                seen.in_doubt,
-                seen.repeated,
-                seen.recalls,
+                table.released,
+                table.answered,
+                table.in_doubt,
+                table.repeated,
+                table.recalls,
                 holder_silent.get(),
-                seen.dropped,
+                table.dropped,
             )
         })
     }
 
-    /// Claims and runs by what became of them.
+    /// Claims and operations by outcome, under the names of the metric's labels.
     pub(crate) fn outcomes(&self) -> [(&'static str, u64); 9] {
-        let (seen, counts) = (self.operations.borrow().counts(), &self.counts);
+        let (table, counts) = (self.operations.borrow().counts(), &self.counts);
         [
             ("granted", counts.granted.get()),
             ("held", counts.held.get()),
             ("unanswered", counts.unanswered.get()),
             ("holder_silent", counts.holder_silent.get()),
-            ("released", seen.released),
-            ("answered", seen.answered),
-            ("in_doubt", seen.in_doubt),
-            ("repeated", seen.repeated),
-            ("dropped", seen.dropped),
+            ("released", table.released),
+            ("answered", table.answered),
+            ("in_doubt", table.in_doubt),
+            ("repeated", table.repeated),
+            ("dropped", table.dropped),
         ]
     }
 
-    /// Claims an operation, or says what its request is told instead.
+    /// Claims an operation, or returns the answer to send instead of running it.
     async fn claim(
         self: &Rc<Self>,
         operation: Operation,
         routed: &RoutedRequest,
-        client: &Client,
+        client: &ReplySender,
     ) -> Result<Claim, Reply> {
-        let most_ms = (routed.route.aim_ms * CLAIM_PART).max(CLAIM_LEAST_MS);
-        let until = (self.wheel.now() + most_ms).min(routed.arrived + routed.time_limit_ms);
+        let timeout_ms = (routed.route.aim_ms * CLAIM_TIME_RATIO).max(MIN_CLAIM_TIMEOUT_MS);
+        let until = (self.wheel.now() + timeout_ms).min(routed.arrived + routed.time_limit_ms);
         let mut claiming = Claiming::new(operation.id, operation.request);
         let mut step = self.begin(&mut claiming, routed, client).await;
         loop {
             step = match step {
                 Step::Claim(call) => {
                     let number = call.claimant.number;
-                    let claim = Claim { keyed: self.clone(), id: operation.id, number, exposed: false };
+                    let claim = Claim { keyed: self.clone(), id: operation.id, number, may_have_run: false };
                     let answer = self.ask_leader(&call, until).await;
                     let mut table = self.operations.borrow_mut();
                     match claiming.claimed(self.wheel.now(), &mut table, answer) {
@@ -192,24 +194,26 @@
                     let mut table = self.operations.borrow_mut();
                     claiming.recalled(self.wheel.now(), &mut table, call.claimant, answer)
                 }
-                Step::Refused(refusal) => return Err(refused(&refusal, routed)),
+                Step::Refused(refusal) => return Err(refusal_reply(&refusal, routed)),
             };
         }
     }
 
-    /// What the request may do once no other one of its key is at work here, or its time is up.
-    async fn begin(&self, claiming: &mut Claiming, routed: &RoutedRequest, client: &Client) -> Step {
+    /// The first step of a claim, once no other request of the same key is in progress here or the request's time is up.
+    async fn begin(&self, claiming: &mut Claiming, routed: &RoutedRequest, client: &ReplySender) -> Step {
         loop {
             let step = claiming.begin(self.wheel.now(), &mut self.operations.borrow_mut());
-            if step != Step::Refused(Refusal::AtWork) || !self.waits(routed, client, LOOK_MS).await {
+            if step != Step::Refused(Refusal::AtWork)
+                || !self.wait_for_first(routed, client, LOCAL_POLL_MS).await
+            {
                 return step;
             }
         }
     }
 
-    /// Waits before another look at a first request that is at work; `false`: there is no time for it, or nobody waits.
-    async fn waits(&self, routed: &RoutedRequest, client: &Client, ms: f64) -> bool {
-        let until = routed.arrived + routed.time_limit_ms - AT_WORK_MARGIN_MS;
+    /// Waits before checking again on a first request in progress; `false`: no time is left, or the client has disconnected.
+    async fn wait_for_first(&self, routed: &RoutedRequest, client: &ReplySender, ms: f64) -> bool {
+        let until = routed.arrived + routed.time_limit_ms - IN_PROGRESS_MARGIN_MS;
         if client.is_closed() || self.wheel.now() + ms > until {
             return false;
         }
@@ -217,30 +221,30 @@
         true
     }
 
-    /// The holder's word once its request is no longer at work, or this one's time is up.
+    /// The holder's answer once its request is no longer in progress, or this request's time is up.
     async fn await_holder(
         &self,
         call: &RecallCall,
         routed: &RoutedRequest,
-        client: &Client,
+        client: &ReplySender,
     ) -> Option<RecallAnswer> {
         loop {
             let answer = self.ask_holder(call, routed).await;
-            let at_work = answer == Some(RecallAnswer::InProgress);
-            if !at_work || !self.waits(routed, client, LOOK_ELSEWHERE_MS).await {
+            let in_progress = answer == Some(RecallAnswer::InProgress);
+            if !in_progress || !self.wait_for_first(routed, client, REMOTE_POLL_MS).await {
                 return answer;
             }
         }
     }
 
     async fn ask_leader(&self, call: &ClaimCall, until: f64) -> Option<ClaimAnswer> {
-        let asked = self.wheel.now();
+        let asked_at = self.wheel.now();
         let answer = self.claims.claim(call, until).await;
         match answer {
             None => count(&self.counts.unanswered),
             Some(ClaimAnswer::Granted) => {
                 count(&self.counts.granted);
-                self.counts.granted_ms.set(self.counts.granted_ms.get() + self.wheel.now() - asked);
+                self.counts.granted_ms.set(self.counts.granted_ms.get() + self.wheel.now() - asked_at);
             }
             Some(ClaimAnswer::Held(_)) => count(&self.counts.held),
             Some(ClaimAnswer::Full) => {}
@@ -250,7 +254,7 @@
 
     async fn ask_holder(&self, call: &RecallCall, routed: &RoutedRequest) -> Option<RecallAnswer> {
         let left_ms = routed.arrived + routed.time_limit_ms - self.wheel.now();
-        let answer = self.claims.recall(call, left_ms.min(RECALL_MS)).await;
+        let answer = self.claims.recall(call, left_ms.min(RECALL_TIMEOUT_MS)).await;
         if answer.is_none() {
             count(&self.counts.holder_silent);
         }
@@ -259,7 +263,7 @@
 }
 
 impl Frontend {
-    /// The operation that a request is a try of; `None`: its route is not keyed, or it carries no key.
+    /// The operation that a request belongs to; `None`: its route is not keyed, or it carries no operation key.
     pub(super) fn operation(
         &self,
         head: &RequestHead,
@@ -283,17 +287,17 @@
         Ok(Some(Operation { id, request: request_digest(&head.method, &head.target, body) }))
     }
 
-    /// Runs an operation unless another try has claimed it, whether or not its client waits. Dropping this doesn't end it.
+    /// Runs an operation unless another request has claimed it. Dropping the future doesn't end the task that runs it.
     pub(super) async fn run_once(self: Rc<Self>, operation: Operation, request: AdmittedRequest) -> Reply {
         let Some(keyed) = self.keyed.borrow().clone() else { return self.send_to_server(request).await };
-        let (to, reply) = oneshot::channel();
+        let (client, reply) = oneshot::channel();
         tokio::task::spawn_local(async move {
-            let reply = self.claim_and_send(&keyed, operation, request, &to).await;
-            // A client that has gone awaits nothing.
-            let _ = to.send(reply);
+            let reply = self.claim_and_send(&keyed, operation, request, &client).await;
+            // Fails only if the client has disconnected.
+            let _ = client.send(reply);
         });
-        let ended = |_| Reply::Local(LocalReply::new(502, "the operation's end is not known"));
-        reply.await.unwrap_or_else(ended)
+        let not_known = |_| Reply::Local(LocalReply::new(502, "the operation's end is not known"));
+        reply.await.unwrap_or_else(not_known)
     }
 
     async fn claim_and_send(
@@ -301,37 +305,35 @@
         keyed: &Rc<KeyedOperations>,
         operation: Operation,
         request: AdmittedRequest,
-        client: &Client,
+        client: &ReplySender,
     ) -> Reply {
         let mut claim = match keyed.claim(operation, &request.routed, client).await {
             Ok(claim) => claim,
             Err(reply) => return reply,
         };
         let AdmittedRequest { head, routed, body, unit_until } = request;
-        // Much may have changed while the claim was under way.
+        // The shutdown may have begun, or the contact to the core been lost, during the claim.
         let routed = match self
             .limit_to_shutdown(routed)
             .and_then(|routed| self.stale_reply(KEYS_STALE).map_or(Ok(routed), Err))
         {
             Ok(routed) => routed,
-            Err(own) => return Reply::Local(own),
+            Err(refusal) => return Reply::Local(refusal),
         };
         if client.is_closed() {
             return Reply::Local(LocalReply::refusal(503, "the client has gone", SHUTDOWN_PAUSE_MS));
         }
         let unit_until = match self.renew_unit(&routed, unit_until).await {
             Ok(until) => until,
-            Err(own) => return Reply::Local(own),
+            Err(refusal) => return Reply::Local(refusal),
         };
-        claim.exposed = true;
+        claim.may_have_run = true;
         let reply = self.send_to_server(AdmittedRequest { head, routed, body, unit_until }).await;
-        claim.settle(&reply);
+        claim.record(&reply);
         reply
     }
-}
 
-impl Frontend {
-    /// Until when the request's unit is good: a new one's where it ran out while the claim was under way.
+    /// When the request's unit expires; spends another one if it expired during the claim.
     async fn renew_unit(&self, routed: &RoutedRequest, unit_until: f64) -> Result<f64, LocalReply> {
         match unit_until < self.wheel.now() {
             true => self.acquire_unit(routed).await,
@@ -344,14 +346,14 @@
     cell.set(cell.get() + 1);
 }
 
-fn refused(refusal: &Refusal, routed: &RoutedRequest) -> Reply {
+fn refusal_reply(refusal: &Refusal, routed: &RoutedRequest) -> Reply {
     Reply::Local(match refusal {
         Refusal::Answered(answer) => {
             return answer
                 .for_attempt(&routed.attempt_id)
                 .map_or_else(|| Reply::Local(in_doubt()), Reply::Served)
         }
-        Refusal::AtWork => LocalReply::refusal(409, "the operation is at work", AT_WORK_PAUSE_MS),
+        Refusal::AtWork => LocalReply::refusal(409, "the operation is at work", IN_PROGRESS_PAUSE_MS),
         Refusal::InDoubt => in_doubt(),
         Refusal::OtherRequest => LocalReply::new(422, "the operation key was used for another request"),
         Refusal::Full => LocalReply::refusal(503, "too many operations are remembered", CUT_OFF_PAUSE_MS),
