--- a/crates/edge/src/core_client.rs
+++ b/crates/edge/src/core_client.rs
@@ -1,4 +1,4 @@
-//! The links to the core: one held call that brings what is new, and the counted adds.
+//! A gateway's client of the core: held watch calls that bring configuration and state, and calls for units of quota.
 
 mod claims;
 
@@ -32,84 +32,88 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// How long a counted add may take, ms.
-const UNITS_MS: f64 = 300.0;
-/// How long a request waits for units: the counter's short time-out, ms.
-const WAIT_MS: f64 = 220.0;
-/// So much longer where the call for them is under way, ms.
-const ANSWER_DUE_MS: f64 = 60.0;
-/// When a client is to come back while the core is out of touch, ms.
-const STALE_MS: f64 = 700.0;
-/// Since the core was last heard, ms: held calls are answered every second, units last for 4 s.
+/// Time-out of a call for units, ms.
+const UNITS_TIMEOUT_MS: f64 = 300.0;
+/// How long a request waits for a unit, ms.
+const UNIT_WAIT_MS: f64 = 220.0;
+/// How much longer a request waits while a call for its tenant's units is pending, ms.
+const PENDING_CALL_WAIT_MS: f64 = 60.0;
+/// `Retry-After` while the lease on the configuration has expired, ms.
+const STALE_PAUSE_MS: f64 = 700.0;
+/// Age of the knowledge from which the gateway counts as out of touch, ms: held calls are answered every second, and
+/// units last for 4 s.
 const OUT_OF_TOUCH_MS: f64 = 3_000.0;
+/// Age of the knowledge from which permits for cold servers are checked for expiry, ms.
+const PERMIT_CHECK_AGE_MS: f64 = 1_000.0;
 
-/// What this gateway is, for the core.
+/// This gateway's identity and settings, as far as calls to the core need them.
 pub struct GatewayIdentity {
-    /// Where it stands.
+    /// Its name, zone and region.
     pub place: Place,
-    /// Where clients reach it.
+    /// The address at which clients reach it.
     pub client_address: String,
-    /// Inner port of core machines.
+    /// Port for calls between the system's machines.
     pub inner_port: u16,
-    /// Drawn at this process's start.
+    /// Random number of this process, drawn at its start.
     pub incarnation: u64,
-    /// Figures of the rules.
+    /// Limits and time-outs from the settings.
     pub bounds: Bounds,
     /// Region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// It serves the directory, too.
+    /// Whether it also serves the directory.
     pub serves_directory: bool,
 }
 
-/// What a gateway knows of the core, for operators.
+/// What a gateway knows of the core, for the metrics.
 pub struct CoreStatus {
-    /// Version of the configuration in force; 0: none yet.
+    /// Version of the applied configuration; 0: none yet.
     pub config_version: u64,
-    /// Term of the leader that told it.
+    /// Term of the leader that sent it.
     pub term: u64,
-    /// Who leads, where one answered last.
+    /// Host that last answered as the leader; `None`: none is known.
     pub leader: Option<String>,
-    /// How old the knowledge is, ms; infinite before the first answer.
+    /// Time since the leader last confirmed the knowledge, ms; infinite before the first answer.
     pub knowledge_age_ms: f64,
-    /// Units of tenants.
+    /// Units held for each tenant.
     pub units: Vec<Holding>,
 }
 
-/// See the module.
+/// A gateway's client of the core.
 pub struct CoreClient {
-    own: GatewayIdentity,
+    identity: GatewayIdentity,
     wheel: Wheel,
     caller: Rc<Caller>,
-    /// For watch calls, which may take their time.
-    patient: Rc<Caller>,
+    /// For watch calls, which have a longer time-out for connecting.
+    watch_caller: Rc<Caller>,
     table: Rc<Swap<Table>>,
     proxy: Rc<Proxy>,
     watcher: RefCell<Watcher>,
-    copy: RefCell<WatchCache>,
+    cache: RefCell<WatchCache>,
     allowance: RefCell<Allowance>,
     lease: RefCell<Lease>,
     ebb: Rc<Ebb>,
-    /// Of claims at the leader.
+    /// For claims at the leader.
     claim_delay: Cell<HedgeDelay>,
-    /// Of questions to other gateways.
+    /// For queries to gateways that hold claims.
     recall_delay: Cell<HedgeDelay>,
-    leaving: Cell<bool>,
-    permits_told: Cell<bool>,
-    /// The leader is to be asked at once: this gateway has something to say, or a doubt.
-    recall: Notify,
-    /// When the leader is to be asked may have come nearer.
-    behind: Notify,
-    /// Units came, or won't.
-    units: Notify,
-    /// When the next counted add is due.
-    add_due: WakeTimer,
-    dice: RefCell<fastrand::Rng>,
+    shutting_down: Cell<bool>,
+    /// The proxy was given permits for cold servers.
+    has_permits: Cell<bool>,
+    /// The leader is to be called at once: this gateway has something to report, or the leader may have failed.
+    query_leader: Notify,
+    /// The next watch call may be due earlier.
+    watch_rescheduled: Notify,
+    /// A call for units has been answered or has failed.
+    units_answered: Notify,
+    /// For the next call for units.
+    units_timer: WakeTimer,
+    rng: RefCell<fastrand::Rng>,
 }
 
 impl CoreClient {
-    /// A gateway that knows only the seeds' hosts.
+    /// A client that knows only the core hosts from the settings.
     pub fn new(
-        own: GatewayIdentity,
+        identity: GatewayIdentity,
         wheel: Wheel,
         caller: Rc<Caller>,
         table: Rc<Swap<Table>>,
@@ -117,76 +121,78 @@
         seeds: Vec<String>,
         seed: u64,
     ) -> Rc<CoreClient> {
-        let window = (own.bounds.quota_window_s * 1_000.0) as u64;
+        let window = (identity.bounds.quota_window_s * 1_000.0) as u64;
         let tuning = nickeljunction_quota::Tuning::new(window);
-        let allowance = Allowance::new(wheel.now() as u64, own.place.name.clone(), own.incarnation, tuning);
-        let lease = Lease::new(own.bounds.revocation_strict, own.bounds.revoke_timeout_s * 1_000.0);
+        let allowance =
+            Allowance::new(wheel.now() as u64, identity.place.name.clone(), identity.incarnation, tuning);
+        let lease = Lease::new(identity.bounds.revocation_strict, identity.bounds.revoke_timeout_s * 1_000.0);
         let watcher = RefCell::new(Watcher::new(seeds, 0));
-        let patient = Caller::within(wheel.clone(), CONNECT_TIMEOUT_MS);
+        let watch_caller = Caller::within(wheel.clone(), CONNECT_TIMEOUT_MS);
         let ebb = Rc::new(Ebb::new(wheel.clone()));
         Rc::new(CoreClient {
-            own,
+            identity,
             wheel,
             caller,
-            patient,
+            watch_caller,
             table,
             proxy,
             watcher,
-            copy: RefCell::new(WatchCache::new()),
+            cache: RefCell::new(WatchCache::new()),
             allowance: RefCell::new(allowance),
             lease: RefCell::new(lease),
             ebb,
             claim_delay: Cell::default(),
             recall_delay: Cell::default(),
-            leaving: Cell::new(false),
-            permits_told: Cell::new(false),
-            recall: Notify::new(),
-            behind: Notify::new(),
-            units: Notify::new(),
-            add_due: WakeTimer::default(),
-            dice: RefCell::new(fastrand::Rng::with_seed(seed)),
+            shutting_down: Cell::new(false),
+            has_permits: Cell::new(false),
+            query_leader: Notify::new(),
+            watch_rescheduled: Notify::new(),
+            units_answered: Notify::new(),
+            units_timer: WakeTimer::default(),
+            rng: RefCell::new(fastrand::Rng::with_seed(seed)),
         })
     }
 
-    /// It may take clients: a configuration is known that was current when this process asked.
+    /// Whether it may serve clients: it is not shutting down, and the leader has confirmed its configuration to this
+    /// process, recently enough where revocation is strict.
     pub fn is_ready(&self) -> bool {
-        !self.leaving.get()
-            && self.copy.borrow().catalog().version() > 0
+        !self.shutting_down.get()
+            && self.cache.borrow().catalog().version() > 0
             && self.lease.borrow().holds(self.wheel.now())
     }
 
-    /// It can't serve tenants' requests, or soon won't: the core has not been heard of for long.
+    /// Whether it can't serve tenants' requests, or soon won't be able to: the core has not answered for too long.
     pub fn is_out_of_touch(&self) -> bool {
         !self.is_ready() || self.lease.borrow().age(self.wheel.now()) > OUT_OF_TOUCH_MS
     }
 
-    /// This machine's name.
+    /// The gateway's name.
     pub fn name(&self) -> &str {
-        &self.own.place.name
+        &self.identity.place.name
     }
 
-    /// The order to leave: the core is told at once.
+    /// Begins the shutdown and reports it to the core at once.
     pub fn begin_shutdown(&self) {
-        self.leaving.set(true);
+        self.shutting_down.set(true);
         self.ebb.leave();
-        self.recall.notify_one();
+        self.query_leader.notify_one();
     }
 
-    /// What slows tenants here.
+    /// Delays the requests of tenants whose trial has lapsed.
     pub fn ebb(&self) -> &Rc<Ebb> {
         &self.ebb
     }
 
-    /// Who asks for shares of paces.
+    /// A call for shares of paces with only the identity of this gateway filled in.
     pub(crate) fn pace_shares_call(&self) -> PaceSharesCall {
         PaceSharesCall {
-            name: self.own.place.name.clone(),
-            incarnation: self.own.incarnation,
+            name: self.identity.place.name.clone(),
+            incarnation: self.identity.incarnation,
             ..PaceSharesCall::default()
         }
     }
 
-    /// A call to the leader, where one is known; its answer, where it leads.
+    /// Calls the leader; `None`: none is known, it no longer leads, or the call failed.
     pub(crate) async fn call_leader<C: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
@@ -206,116 +212,119 @@
         }
     }
 
-    /// All gateways, as far as is known here.
+    /// All gateways known here.
     pub fn gateways(&self) -> Rc<Vec<GatewayInfo>> {
-        self.copy.borrow().catalog().roster.clone()
+        self.cache.borrow().catalog().roster.clone()
     }
 
     /// Region of each zone.
     pub fn zones(&self) -> &BTreeMap<String, String> {
-        &self.own.zones
+        &self.identity.zones
     }
 
-    /// Regions that are a home of each of a host's routes with homes; see [`Table::host_homes`].
+    /// The regions that are a home of every route of the host that has homes; see [`Table::host_homes`].
     pub fn host_homes(&self, host: &str) -> Option<Vec<String>> {
         self.table.get().host_homes(host)
     }
 
-    /// What is known here of the core and held of its units, for operators.
+    /// What is known of the core, and the units held, for the metrics.
     pub fn status(&self) -> CoreStatus {
         let now = self.wheel.now();
-        let copy = self.copy.borrow();
+        let cache = self.cache.borrow();
         CoreStatus {
-            config_version: copy.catalog().version(),
-            term: copy.term(),
+            config_version: cache.catalog().version(),
+            term: cache.term(),
             leader: self.watcher.borrow().leader().map(str::to_string),
             knowledge_age_ms: self.lease.borrow().age(now),
             units: self.allowance.borrow_mut().holdings(now as u64, MOST_LABELLED),
         }
     }
 
-    /// Other seeds' hosts.
+    /// Replaces the core hosts from the settings.
     pub fn set_seeds(&self, hosts: Vec<String>) {
         self.watcher.borrow_mut().set_seeds(hosts);
     }
 
     fn address(&self, host: &str) -> Option<SocketAddr> {
-        Some(SocketAddr::new(host.parse::<IpAddr>().ok()?, self.own.inner_port))
+        Some(SocketAddr::new(host.parse::<IpAddr>().ok()?, self.identity.inner_port))
     }
 
-    // ---- What is new ----
+    // ---- Watch calls ----
 
-    /// Watches the leader for as long as it is polled.
+    /// Makes watch calls to the core for as long as it is polled.
     pub async fn run_watch(self: Rc<Self>) {
-        let mut asking = JoinSet::new();
-        let mut under_way: BTreeMap<u64, AbortHandle> = BTreeMap::new();
+        let mut calls = JoinSet::new();
+        let mut handles: BTreeMap<u64, AbortHandle> = BTreeMap::new();
         loop {
             let now = self.wheel.now();
-            let known_ms = self.lease.borrow().age(now);
-            let steps = self.watcher.borrow_mut().poll(now, known_ms);
-            for step in steps {
-                match step {
+            let knowledge_age_ms = self.lease.borrow().age(now);
+            let actions = self.watcher.borrow_mut().poll(now, knowledge_age_ms);
+            for action in actions {
+                match action {
                     CallAction::Start(call) => {
                         let id = call.id;
-                        under_way.insert(id, asking.spawn_local(self.clone().ask(call)));
+                        handles.insert(id, calls.spawn_local(self.clone().watch_call(call)));
                     }
                     CallAction::Cancel(call) => {
-                        under_way.remove(&call.id).into_iter().for_each(|asked| asked.abort());
+                        handles.remove(&call.id).into_iter().for_each(|handle| handle.abort());
                     }
                 }
             }
             if self.watcher.borrow().is_leader_overdue(now) {
-                self.permits_age();
+                self.withdraw_expired_permits();
             }
             let wake = self.watcher.borrow().next_wake();
             tokio::select! {
                 biased;
-                Some(ended) = asking.join_next(), if !asking.is_empty() => {
-                    // Those that were hung up end without an answer.
-                    let Ok((id, how)) = ended else { continue };
-                    under_way.remove(&id);
-                    let luck = self.dice.borrow_mut().f64();
-                    self.watcher.borrow_mut().call_ended(self.wheel.now(), id, how, luck);
+                Some(ended) = calls.join_next(), if !calls.is_empty() => {
+                    // Cancelled calls end without an outcome.
+                    let Ok((id, outcome)) = ended else { continue };
+                    handles.remove(&id);
+                    let jitter = self.rng.borrow_mut().f64();
+                    self.watcher.borrow_mut().call_ended(self.wheel.now(), id, outcome, jitter);
                 }
-                () = self.recall.notified() => self.watcher.borrow_mut().query_leader_now(),
-                () = self.behind.notified() => {}
+                () = self.query_leader.notified() => self.watcher.borrow_mut().query_leader_now(),
+                () = self.watch_rescheduled.notified() => {}
                 () = self.wheel.sleep_until(wake) => {}
             }
         }
     }
 
-    /// Asks a host for what is new.
-    async fn ask(self: Rc<Self>, call: Call) -> (u64, CallOutcome) {
-        (call.id, self.asked(&call).await.unwrap_or(CallOutcome::Failed))
+    /// Makes a watch call; returns its id and outcome.
+    async fn watch_call(self: Rc<Self>, call: Call) -> (u64, CallOutcome) {
+        (call.id, self.watch_outcome(&call).await.unwrap_or(CallOutcome::Failed))
     }
 
-    async fn asked(&self, call: &Call) -> Option<CallOutcome> {
+    async fn watch_outcome(&self, call: &Call) -> Option<CallOutcome> {
         let to = self.address(&call.host)?;
-        let place = &self.own.place;
-        let (front, zone) = (self.own.client_address.clone(), place.zone.clone());
-        let line = GatewayInfo { name: place.name.clone(), front, zone, ready: self.is_ready() };
-        let mut ask = self.copy.borrow().watch_call(
+        let place = &self.identity.place;
+        let (front, zone) = (self.identity.client_address.clone(), place.zone.clone());
+        let gateway = GatewayInfo { name: place.name.clone(), front, zone, ready: self.is_ready() };
+        let mut request = self.cache.borrow().watch_call(
             nickeljunction_messages::Caller::Gateway,
             &place.name,
-            self.own.incarnation,
-            Some(line),
+            self.identity.incarnation,
+            Some(gateway),
             call.hold_ms,
         );
-        ask.serves_directory = self.own.serves_directory;
-        let body = serde_json::to_vec(&ask).ok()?;
+        request.serves_directory = self.identity.serves_directory;
+        let body = serde_json::to_vec(&request).ok()?;
         let sent = self.wheel.now();
         let timeout = call.hold_ms as f64 + GIVE_UP_MS;
-        let reply =
-            match self.patient.call(to, "POST", path::WATCH, &[compression::ACCEPT], &body, timeout).await {
-                Ok(reply) => reply,
-                Err(error) => {
-                    log::debug!("event=core_silent step=watch peer={to} error={:?}", error.to_string());
-                    return None;
-                }
-            };
+        let reply = match self
+            .watch_caller
+            .call(to, "POST", path::WATCH, &[compression::ACCEPT], &body, timeout)
+            .await
+        {
+            Ok(reply) => reply,
+            Err(error) => {
+                log::debug!("event=core_silent step=watch peer={to} error={:?}", error.to_string());
+                return None;
+            }
+        };
         match reply.status {
             200 => match compression::decompressed(&reply) {
-                Ok(body) => Some(self.learn(to, sent, &body)),
+                Ok(body) => Some(self.apply_answer(to, sent, &body)),
                 Err(error) => {
                     log::warn!("event=answer_unreadable step=watch peer={to} error={:?}", error.to_string());
                     None
@@ -332,7 +341,8 @@
         }
     }
 
-    fn learn(&self, from: SocketAddr, sent: f64, body: &Bytes) -> CallOutcome {
+    /// Applies the answer to a watch call that was sent at `sent`, ms.
+    fn apply_answer(&self, from: SocketAddr, sent: f64, body: &Bytes) -> CallOutcome {
         let answer = match serde_json::from_slice::<WatchAnswer>(body) {
             Ok(answer) => answer,
             Err(error) => {
@@ -340,10 +350,10 @@
                 return CallOutcome::Failed;
             }
         };
-        let (age, ready) = (answer.quorum_age_ms as f64, self.is_ready());
-        let applied = match self.copy.borrow_mut().apply(answer) {
+        let (age, was_ready) = (answer.quorum_age_ms as f64, self.is_ready());
+        let applied = match self.cache.borrow_mut().apply(answer) {
             Ok(applied) => applied,
-            // The next call is answered by a difference to what is held by now, or by the whole.
+            // The next call is answered by a difference to the present state, or by the full state.
             Err(ApplyError::StaleSeq(..) | ApplyError::BaseMismatch(..) | ApplyError::DigestMismatch(..)) => {
                 return CallOutcome::Superseded
             }
@@ -354,17 +364,17 @@
         };
         self.lease.borrow_mut().answered(sent, age);
         let now = self.wheel.now();
-        let catalog = self.copy.borrow().catalog();
+        let catalog = self.cache.borrow().catalog();
         if applied.new_leader {
-            log::info!("event=leader peer={from} term={}", self.copy.borrow().term());
-            self.allowance.borrow_mut().leader_changed(now as u64, self.copy.borrow().term());
-            self.add_due.wake_now();
+            log::info!("event=leader peer={from} term={}", self.cache.borrow().term());
+            self.allowance.borrow_mut().leader_changed(now as u64, self.cache.borrow().term());
+            self.units_timer.wake_now();
         }
         if applied.config {
             if let Some(config) = &catalog.config {
                 match Document::view(&config.document) {
-                    Ok(config) => self.configure(&config),
-                    // The leader has checked it: versions of the programs differ.
+                    Ok(config) => self.apply_config(&config),
+                    // The leader has accepted it, so leader and gateway must be of different software versions.
                     Err(problem) => log::error!(
                         "event=config_unreadable version={} error={:?}",
                         config.version,
@@ -374,7 +384,7 @@
             }
         }
         if !applied.trials.is_empty() {
-            // Stages count down from here; curves come with the configuration, which may be older.
+            // The countdown of a stage starts now; the curves come from the configuration, which may be older.
             let config = catalog.config.as_ref().and_then(|config| Document::view(&config.document).ok());
             self.ebb.told(&applied.trials, config.as_ref());
         }
@@ -390,26 +400,27 @@
             || !applied.servers.is_empty()
             || !applied.removed_servers.is_empty()
         {
-            self.tell_servers();
+            self.update_servers();
         }
-        if !ready && self.is_ready() {
+        if !was_ready && self.is_ready() {
             log::info!("event=ready version={}", catalog.version());
-            // The directory should know at once.
-            self.recall.notify_one();
+            // Reports it at once, so that the directory lists this gateway.
+            self.query_leader.notify_one();
         }
         CallOutcome::Answered
     }
 
-    fn configure(&self, config: &Config) {
+    /// Applies a configuration.
+    fn apply_config(&self, config: &Config) {
         let table = Table::of(config);
-        if let Some(apart) =
-            table.disjoint_homes().filter(|apart| self.table.get().disjoint_homes() != Some(*apart))
+        if let Some(disjoint) =
+            table.disjoint_homes().filter(|disjoint| self.table.get().disjoint_homes() != Some(*disjoint))
         {
             log::warn!(
                 "event=no_common_home pairs={} route={:?} tenant={:?}",
-                apart.pairs,
-                apart.route,
-                apart.tenant
+                disjoint.pairs,
+                disjoint.route,
+                disjoint.tenant
             );
         }
         self.table.set(table);
@@ -418,8 +429,8 @@
             warmup_per_s: backend.warmup_per_s.unwrap_or(0.0),
         };
         self.proxy
-            .backends(config.backends.iter().map(|(name, item)| (name.clone(), backend(item))).collect());
-        let bounds = &self.own.bounds;
+            .backends(config.backends.iter().map(|(name, config)| (name.clone(), backend(config))).collect());
+        let bounds = &self.identity.bounds;
         let limits = config.tenants.iter().filter_map(|(name, tenant)| {
             let (rate, burst) = tenant.quota()?;
             let (window, overrun, slack) = (bounds.quota_window_s, bounds.quota_overrun, bounds.quota_slack);
@@ -427,98 +438,98 @@
         });
         self.allowance.borrow_mut().set_limits(self.wheel.now() as u64, &limits.collect());
         self.ebb.configured(config);
-        self.add_due.wake_now();
+        self.units_timer.wake_now();
         log::info!("event=config version={} routes={}", config.config_version, config.routes.len());
     }
 
-    /// Tells the servers' side which servers there are, and which cold ones this gateway may send to.
-    fn tell_servers(&self) {
-        let catalog = self.copy.borrow().catalog();
-        let known_ms = self.lease.borrow().age(self.wheel.now()) as u64;
-        let name = &self.own.place.name;
-        let mut permits = false;
-        let line = |line: &Rc<ServerInfo>| {
-            let mut line = ServerInfo::clone(line);
-            if line.cold.as_ref() == Some(name) {
-                match SendLimit::of(&line, name, known_ms) {
-                    SendLimit::Blocked => line.cold = Some(String::new()),
-                    SendLimit::WarmupRate | SendLimit::Unlimited => permits = true,
+    /// Gives the proxy the list of servers, and which cold ones this gateway may send to.
+    fn update_servers(&self) {
+        let catalog = self.cache.borrow().catalog();
+        let knowledge_age_ms = self.lease.borrow().age(self.wheel.now()) as u64;
+        let name = &self.identity.place.name;
+        let mut has_permits = false;
+        let with_permit = |server: &Rc<ServerInfo>| {
+            let mut server = ServerInfo::clone(server);
+            if server.cold.as_ref() == Some(name) {
+                match SendLimit::of(&server, name, knowledge_age_ms) {
+                    SendLimit::Blocked => server.cold = Some(String::new()),
+                    SendLimit::WarmupRate | SendLimit::Unlimited => has_permits = true,
                 }
             }
-            line
+            server
         };
-        let lines: Vec<ServerInfo> = catalog.servers.values().map(line).collect();
-        self.permits_told.set(permits);
+        let servers: Vec<ServerInfo> = catalog.servers.values().map(with_permit).collect();
+        self.has_permits.set(has_permits);
         let evacuated: Vec<String> = catalog.evacuated_zones.iter().cloned().collect();
-        let zones = self.own.zones.iter().map(|(zone, region)| (zone.clone(), region.clone())).collect();
-        self.proxy.servers(&lines, &evacuated, &zones);
+        let zones = self.identity.zones.iter().map(|(zone, region)| (zone.clone(), region.clone())).collect();
+        self.proxy.servers(&servers, &evacuated, &zones);
     }
 
-    /// Permits for cold servers end when the core is out of touch: it gives them to others.
-    fn permits_age(&self) {
-        if self.permits_told.get() && self.lease.borrow().age(self.wheel.now()) >= 1_000.0 {
-            self.tell_servers();
+    /// Withdraws permits for cold servers without contact to the core, which then gives them to other gateways.
+    fn withdraw_expired_permits(&self) {
+        if self.has_permits.get() && self.lease.borrow().age(self.wheel.now()) >= PERMIT_CHECK_AGE_MS {
+            self.update_servers();
         }
     }
 
-    // ---- Counted adds ----
+    // ---- Calls for units ----
 
-    /// Makes counted adds for as long as it is polled.
+    /// Makes calls for units to the leader for as long as it is polled.
     pub async fn run_quota_sync(self: Rc<Self>) {
         loop {
             let call = self.allowance.borrow_mut().poll(self.wheel.now() as u64);
             let Some(call) = call else {
                 let wake = self.allowance.borrow().next_wake().map_or(f64::INFINITY, |wake| wake as f64);
-                self.add_due.sleep_until(&self.wheel, wake).await;
+                self.units_timer.sleep_until(&self.wheel, wake).await;
                 continue;
             };
-            let answer = self.add(&call).await;
+            let answer = self.call_for_units(&call).await;
             let now = self.wheel.now() as u64;
             match answer {
                 Some(answer) => self.allowance.borrow_mut().answered(now, &answer),
                 None => self.allowance.borrow_mut().failed(now),
             }
-            self.units.notify_waiters();
+            self.units_answered.notify_waiters();
         }
     }
 
-    async fn add(&self, call: &nickeljunction_messages::UnitsCall) -> Option<UnitsAnswer> {
+    async fn call_for_units(&self, call: &nickeljunction_messages::UnitsCall) -> Option<UnitsAnswer> {
         let host = self.watcher.borrow().leader()?.to_string();
         let to = self.address(&host)?;
         let body = serde_json::to_vec(call).ok()?;
         let sent = self.wheel.now();
-        match self.caller.call(to, "POST", path::UNITS, &[], &body, UNITS_MS).await {
+        match self.caller.call(to, "POST", path::UNITS, &[], &body, UNITS_TIMEOUT_MS).await {
             Ok(reply) if reply.status == 200 => {
                 let answer: UnitsAnswer = serde_json::from_slice(&reply.body).ok()?;
-                let copy = self.copy.borrow();
-                // What this gateway knows was still the newest then.
-                if answer.version == copy.catalog().version() && answer.term >= copy.term() {
+                let cache = self.cache.borrow();
+                // The applied configuration was still the newest when the leader answered.
+                if answer.version == cache.catalog().version() && answer.term >= cache.term() {
                     self.lease.borrow_mut().answered(sent, answer.quorum_age_ms as f64);
                 }
-                // There is a newer one, and the held call has not brought it.
-                if answer.version > copy.catalog().version() {
+                // There is a newer one that the held call has not brought yet.
+                if answer.version > cache.catalog().version() {
                     self.watcher.borrow_mut().newer_version_seen(self.wheel.now());
-                    self.behind.notify_one();
+                    self.watch_rescheduled.notify_one();
                 }
                 Some(answer)
             }
             Ok(_) => {
-                self.recall.notify_one();
+                self.query_leader.notify_one();
                 None
             }
             Err(error) => {
                 log::debug!("event=counter_silent step=units peer={to} error={:?}", error.to_string());
-                // The held call would find out later.
-                self.recall.notify_one();
+                // The held call would notice later that the leader may have failed.
+                self.query_leader.notify_one();
                 None
             }
         }
     }
 
-    /// Gives all units back before the end; what is lost on the way lapses by itself.
+    /// Returns all units at the end of the shutdown; if the call is lost, they expire at the leader.
     pub async fn return_units(&self) {
         let call = self.allowance.borrow_mut().return_all(self.wheel.now() as u64);
-        self.add(&call).await;
+        self.call_for_units(&call).await;
     }
 }
 
@@ -526,14 +537,14 @@
     fn admit<'a>(&'a self, tenant: &'a str) -> Pin<Box<dyn Future<Output = Admitted> + 'a>> {
         Box::pin(async move {
             let began = self.wheel.now();
-            let until = began + WAIT_MS;
+            let wait_until = began + UNIT_WAIT_MS;
             loop {
-                let answered = self.units.notified();
+                let answered = self.units_answered.notified();
                 tokio::pin!(answered);
                 answered.as_mut().enable();
                 let now = self.wheel.now();
-                let asks = self.allowance.borrow().is_fetching(tenant, began as u64);
-                let until = if asks { until + ANSWER_DUE_MS } else { until };
+                let call_pending = self.allowance.borrow().is_fetching(tenant, began as u64);
+                let until = if call_pending { wait_until + PENDING_CALL_WAIT_MS } else { wait_until };
                 let spend = {
                     let mut allowance = self.allowance.borrow_mut();
                     match now < until {
@@ -541,13 +552,13 @@
                         false => allowance.give_up(now as u64, tenant),
                     }
                 };
-                // A request that waits, or a batch that runs low, makes an add due earlier.
+                // A waiting request, or a batch of units that runs low, makes the next call due earlier.
                 if let Some(wake) = self.allowance.borrow().next_wake() {
-                    self.add_due.bring_forward(wake as f64);
+                    self.units_timer.bring_forward(wake as f64);
                 }
                 match spend {
                     Spend::Done { from, until } => {
-                        // The pace: a unit of the next moments.
+                        // Pacing: the unit becomes valid a moment later.
                         if from as f64 > now {
                             self.wheel.sleep_until(from as f64).await;
                         }
@@ -556,8 +567,8 @@
                     Spend::Refused { retry_after_ms } => return Admitted::Beyond(retry_after_ms as f64),
                     Spend::Wait => {}
                 }
-                // At the time-out it is looked anew whether the call is under way.
-                let left = if now < began + WAIT_MS { began + WAIT_MS - now } else { until - now };
+                // At the first time-out, checks again whether a call is pending.
+                let left = if now < wait_until { wait_until - now } else { until - now };
                 self.wheel.timeout(left, answered).await;
             }
         })
@@ -568,7 +579,7 @@
     }
 
     fn stale(&self) -> Option<f64> {
-        (!self.lease.borrow().holds(self.wheel.now())).then_some(STALE_MS)
+        (!self.lease.borrow().holds(self.wheel.now())).then_some(STALE_PAUSE_MS)
     }
 
     fn ebb(&self) -> Option<&Ebb> {
--- a/crates/edge/src/core_client/claims.rs
+++ b/crates/edge/src/core_client/claims.rs
@@ -1,4 +1,4 @@
-//! Claims at the leader, and questions to the gateways that hold claims.
+//! Claims of keyed operations at the leader, and queries to the gateways that hold claims.
 
 use super::CoreClient;
 use crate::claims::{Awaited, Claims};
@@ -9,54 +9,56 @@
 use std::net::{IpAddr, SocketAddr};
 use std::pin::pin;
 
-/// Between two attempts to reach the leader, ms.
-const AGAIN_MS: f64 = 20.0;
-/// Without a sound way to the core for this part of `revoke_timeout_s`, keyed requests are refused at once.
-const CUT_OFF_PART: f64 = 0.6;
+/// Pause between attempts to reach the leader, ms.
+const RETRY_PAUSE_MS: f64 = 20.0;
+/// Part of `revoke_timeout_s` without an answer from the core after which keyed requests are refused at once.
+const CUT_OFF_RATIO: f64 = 0.6;
 
-/// How a call to a core machine ended.
-enum Asked {
+/// How a claim call to a core host ended.
+enum ClaimCallOutcome {
     Answered(ClaimAnswer),
-    /// It doesn't lead; who does, where it knows.
-    Elsewhere(Option<String>),
+    /// The host doesn't lead; with the leader's host, if it named one.
+    NotLeader(Option<String>),
     Failed,
 }
 
 impl CoreClient {
-    /// Where to ask: the leader first, and the core's machines in turn after `failed` attempts.
+    /// The host to call after `failed` attempts: the leader first, then all core hosts in turn.
     fn claims_host(&self, failed: usize) -> Option<String> {
         let watcher = self.watcher.borrow();
         if let (0, Some(leader)) = (failed, watcher.leader()) {
             return Some(leader.to_string());
         }
         let hosts = watcher.candidate_hosts();
-        let at = failed.checked_rem(hosts.len())?;
-        hosts.get(at).cloned()
+        let index = failed.checked_rem(hosts.len())?;
+        hosts.get(index).cloned()
     }
 
-    async fn claim_at(&self, host: &str, call: &ClaimCall, timeout_ms: f64) -> Asked {
+    async fn claim_at(&self, host: &str, call: &ClaimCall, timeout_ms: f64) -> ClaimCallOutcome {
         let (Some(to), Ok(body)) = (self.address(host), serde_json::to_vec(call)) else {
-            return Asked::Failed;
+            return ClaimCallOutcome::Failed;
         };
-        let reply = match self.call_twice(&self.claim_delay, to, path::CLAIM, &body, timeout_ms).await {
+        let reply = match self.call_hedged(&self.claim_delay, to, path::CLAIM, &body, timeout_ms).await {
             Ok(reply) => reply,
             Err(error) => {
                 log::debug!("event=core_silent step=claim peer={to} error={:?}", error.to_string());
-                return Asked::Failed;
+                return ClaimCallOutcome::Failed;
             }
         };
         match reply.status {
-            200 => serde_json::from_slice(&reply.body).map_or(Asked::Failed, Asked::Answered),
+            200 => serde_json::from_slice(&reply.body)
+                .map_or(ClaimCallOutcome::Failed, ClaimCallOutcome::Answered),
             421 => {
-                let elsewhere = serde_json::from_slice::<LeaderRedirect>(&reply.body).ok();
-                Asked::Elsewhere(elsewhere.and_then(|elsewhere| elsewhere.leader))
+                let redirect = serde_json::from_slice::<LeaderRedirect>(&reply.body).ok();
+                ClaimCallOutcome::NotLeader(redirect.and_then(|redirect| redirect.leader))
             }
-            _ => Asked::Failed,
+            _ => ClaimCallOutcome::Failed,
         }
     }
 
-    /// The first answer of a call that may be made twice: once more where the usual time has gone by.
-    async fn call_twice(
+    /// Makes a call, once more if the first one takes longer than usual, and returns the first answer. The call must be
+    /// safe to make twice.
+    async fn call_hedged(
         &self,
         delay: &Cell<HedgeDelay>,
         to: SocketAddr,
@@ -68,9 +70,9 @@
         let call = || async {
             let sent = self.wheel.now();
             let reply = self.caller.call(to, "POST", path, &[], body, until - sent).await?;
-            let mut known = delay.get();
-            known.answered(self.wheel.now() - sent);
-            delay.set(known);
+            let mut updated = delay.get();
+            updated.answered(self.wheel.now() - sent);
+            delay.set(updated);
             Ok(reply)
         };
         let mut first = pin!(call());
@@ -92,31 +94,31 @@
     }
 
     async fn claim_until(&self, call: &ClaimCall, until: f64) -> Option<ClaimAnswer> {
-        let (mut pointed, mut failed) = (None, 0);
+        let (mut redirect, mut failed) = (None, 0);
         while self.wheel.now() < until {
-            let host = pointed.take().or_else(|| self.claims_host(failed));
+            let host = redirect.take().or_else(|| self.claims_host(failed));
             if let Some(host) = host {
                 match self.claim_at(&host, call, until - self.wheel.now()).await {
-                    Asked::Answered(answer) => return Some(answer),
-                    Asked::Elsewhere(leader) => pointed = leader.filter(|leader| *leader != host),
-                    Asked::Failed => {}
+                    ClaimCallOutcome::Answered(answer) => return Some(answer),
+                    ClaimCallOutcome::NotLeader(leader) => redirect = leader.filter(|leader| *leader != host),
+                    ClaimCallOutcome::Failed => {}
                 }
             }
             failed += 1;
-            // The held call would find out later.
-            self.recall.notify_one();
-            // The first word of who leads is followed at once.
-            if failed > 1 || pointed.is_none() {
-                self.wheel.sleep(AGAIN_MS.min(until - self.wheel.now()).max(0.0)).await;
+            // The held watch call would notice later that the leader may have failed.
+            self.query_leader.notify_one();
+            // The first redirect to the leader is followed without a pause.
+            if failed > 1 || redirect.is_none() {
+                self.wheel.sleep(RETRY_PAUSE_MS.min(until - self.wheel.now()).max(0.0)).await;
             }
         }
         None
     }
 
     async fn recall_at(&self, call: &RecallCall, timeout_ms: f64) -> Option<RecallAnswer> {
-        let to = SocketAddr::new(IpAddr::V4(call.claimant.host), self.own.inner_port);
+        let to = SocketAddr::new(IpAddr::V4(call.claimant.host), self.identity.inner_port);
         let body = serde_json::to_vec(call).ok()?;
-        match self.call_twice(&self.recall_delay, to, path::RECALL, &body, timeout_ms).await {
+        match self.call_hedged(&self.recall_delay, to, path::RECALL, &body, timeout_ms).await {
             Ok(reply) if reply.status == 200 => serde_json::from_slice(&reply.body).ok(),
             Ok(_) => None,
             Err(error) => {
@@ -138,6 +140,6 @@
 
     fn cut_off(&self) -> bool {
         let age_ms = self.lease.borrow().age(self.wheel.now());
-        age_ms > CUT_OFF_PART * self.own.bounds.revoke_timeout_s * 1_000.0
+        age_ms > CUT_OFF_RATIO * self.identity.bounds.revoke_timeout_s * 1_000.0
     }
 }
--- a/crates/edge/src/frontend.rs
+++ b/crates/edge/src/frontend.rs
@@ -1,4 +1,5 @@
-//! The client side of a gateway: accepts connections, reads requests, admits them, forwards them and writes the answers.
+//! The client side of a gateway: accepts connections, reads requests, admits them, forwards them and writes the
+//! answers.
 
 mod connection;
 mod keyed;
@@ -97,7 +98,8 @@
         });
     }
 
-    /// Requests by outcome, under the names of the metric's labels, with the status sent to the client; `*`: the server's.
+    /// Requests by outcome, under the names of the metric's labels, with the status sent to the client; `*`: the
+    /// server's.
     pub(crate) fn outcomes(&self) -> [(&'static str, &'static str, u64); 12] {
         let stale = self.stale.get();
         [
@@ -342,8 +344,8 @@
         })
     }
 
-    /// During shutdown: limits the request's time to what is left, or refuses the request if it can't be expected to finish
-    /// before the process exits.
+    /// During shutdown: limits the request's time to what is left, or refuses the request if it can't be expected to
+    /// finish before the process exits.
     fn limit_to_shutdown(&self, routed: RoutedRequest) -> Result<RoutedRequest, LocalReply> {
         let Some(shutdown) = self.lifecycle.shutdown() else { return Ok(routed) };
         let (arrived, deadline) = (routed.arrived, routed.arrived + routed.time_limit_ms);
@@ -357,8 +359,8 @@
 
     /// The tenant whose key the request carries.
     fn authenticate(&self, table: &Table, head: &RequestHead) -> Result<Rc<Tenant>, LocalReply> {
-        // Checked first: without contact to the core, a key known here may have been revoked, and an unknown one may have
-        // been issued.
+        // Checked first: without contact to the core, a key known here may have been revoked, and an unknown one may
+        // have been issued.
         if let Some(refusal) = self.stale_reply(KEYS_STALE) {
             return Err(refusal);
         }
@@ -451,7 +453,8 @@
         }
     }
 
-    /// Delays a request of a tenant whose trial has lapsed, or refuses it with a `Retry-After` before it reaches a server.
+    /// Delays a request of a tenant whose trial has lapsed, or refuses it with a `Retry-After` before it reaches a
+    /// server.
     async fn delay_lapsed_trial(&self, routed: &RoutedRequest) -> Result<(), LocalReply> {
         let (Some(tenant), Some(ebb)) = (&routed.tenant, self.admission.ebb()) else { return Ok(()) };
         let RoutedRequest { route, client_deadline_ms, time_limit_ms, arrived, .. } = routed;
@@ -468,8 +471,8 @@
             .map_err(|pause| LocalReply::refusal(429, "the tenant's trial has lapsed, come back", pause))
     }
 
-    /// Spends a unit of the tenant's quota and returns when it expires, ms of the program's clock: the request's first byte
-    /// must be sent before.
+    /// Spends a unit of the tenant's quota and returns when it expires, ms of the program's clock: the request's first
+    /// byte must be sent before.
     async fn acquire_unit(&self, routed: &RoutedRequest) -> Result<f64, LocalReply> {
         let Some(tenant) = &routed.tenant else { return Ok(f64::INFINITY) };
         let mut admitted = self.admission.admit(&tenant.name).await;
--- a/crates/edge/src/frontend/connection.rs
+++ b/crates/edge/src/frontend/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: reads pipelined requests, processes some of them concurrently, and writes the answers in order.
+//! One client's connection: reads pipelined requests, processes some of them concurrently, and writes the answers in
+//! order.
 
 use super::lifecycle::Entry;
 use super::{count, Frontend, RoutedRequest};
@@ -26,8 +27,8 @@
 const MAX_PART_BYTES: usize = 16 * 1024;
 /// Most bytes that are read before they can be parsed or forwarded.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// After the last answer: how long the client may take to close the connection, ms, and how many bytes it may still send.
-/// Closing with unread bytes would reset the connection and could lose the answer.
+/// After the last answer: how long the client may take to close the connection, ms, and how many bytes it may still
+/// send. Closing with unread bytes would reset the connection and could lose the answer.
 const LINGER_MS: f64 = 1_000.0;
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 
@@ -394,8 +395,9 @@
         }
     }
 
-    /// Whether the request may be processed while earlier ones are: it must be repeatable, with no body or a short one that
-    /// the client sends without waiting, and no earlier answer may break off and close the connection before its own.
+    /// Whether the request may be processed while earlier ones are: it must be repeatable, with no body or a short one
+    /// that the client sends without waiting, and no earlier answer may break off and close the connection before its
+    /// own.
     fn may_run_concurrently(&self, head: &RequestHead) -> bool {
         if self.queue.iter().any(|pending| pending.large_answer) {
             return false;
@@ -600,7 +602,8 @@
             }
         }
         let shutting_down = self.front.lifecycle.is_shutting_down();
-        // Requests behind it have been forwarded: they are answered before the connection is closed, whatever the reason.
+        // Requests behind it have been forwarded: they are answered before the connection is closed, whatever the
+        // reason.
         let closing =
             shutting_down || self.entry.connection.is_evicted() || matches!(self.reading, Reading::Closed);
         let close = closing && self.queue.is_empty();
@@ -640,7 +643,8 @@
         written
     }
 
-    /// Forwards a body as it is received. `false`: it broke off, and nothing has been written that makes it look complete.
+    /// Forwards a body as it is received. `false`: it broke off, and nothing has been written that makes it look
+    /// complete.
     async fn forward_body(&mut self, mut out: BytesMut, mut stream: Stream) -> bool {
         let mut left = stream.length;
         loop {
@@ -681,8 +685,8 @@
         }
     }
 
-    /// The next part; `None`: the body broke off, or the client has closed the connection. The requests behind are processed
-    /// meanwhile.
+    /// The next part; `None`: the body broke off, or the client has closed the connection. The requests behind are
+    /// processed meanwhile.
     fn poll_part(&mut self, context: &mut Context<'_>, stream: &mut Stream) -> Poll<Option<Part>> {
         if let Poll::Ready(part) = stream.parts.poll_recv(context) {
             return Poll::Ready(part);
--- a/crates/edge/src/frontend/keyed.rs
+++ b/crates/edge/src/frontend/keyed.rs
@@ -1,5 +1,5 @@
-//! Keyed operations: each is claimed at the core's leader before it is sent to a server, so that it runs at most once. A
-//! repeated request gets the first one's answer from the gateway that holds the claim.
+//! Keyed operations: each is claimed at the core's leader before it is sent to a server, so that it runs at most once.
+//! A repeated request gets the first one's answer from the gateway that holds the claim.
 //!
 //! A claimed request runs in a task of its own: a client that disconnects ends neither the request nor its record.
 
@@ -68,8 +68,8 @@
     request: u64,
 }
 
-/// A claim of this gateway until its outcome is recorded. If it is dropped before, the operation is released, or left in
-/// doubt if a server may have received the request.
+/// A claim of this gateway until its outcome is recorded. If it is dropped before, the operation is released, or left
+/// in doubt if a server may have received the request.
 struct Claim {
     keyed: Rc<KeyedOperations>,
     id: OperationId,
@@ -199,7 +199,8 @@
         }
     }
 
-    /// The first step of a claim, once no other request of the same key is in progress here or the request's time is up.
+    /// The first step of a claim, once no other request of the same key is in progress here or the request's time is
+    /// up.
     async fn begin(&self, claiming: &mut Claiming, routed: &RoutedRequest, client: &ReplySender) -> Step {
         loop {
             let step = claiming.begin(self.wheel.now(), &mut self.operations.borrow_mut());
@@ -211,7 +212,8 @@
         }
     }
 
-    /// Waits before checking again on a first request in progress; `false`: no time is left, or the client has disconnected.
+    /// Waits before checking again on a first request in progress; `false`: no time is left, or the client has
+    /// disconnected.
     async fn wait_for_first(&self, routed: &RoutedRequest, client: &ReplySender, ms: f64) -> bool {
         let until = routed.arrived + routed.time_limit_ms - IN_PROGRESS_MARGIN_MS;
         if client.is_closed() || self.wheel.now() + ms > until {
--- a/crates/edge/src/frontend/lifecycle.rs
+++ b/crates/edge/src/frontend/lifecycle.rs
@@ -78,8 +78,8 @@
 }
 
 impl Lifecycle {
-    /// Sets how long idle connections are kept during shutdown, ms, so that a request that is already on its way is still
-    /// served. Default: 500.
+    /// Sets how long idle connections are kept during shutdown, ms, so that a request that is already on its way is
+    /// still served. Default: 500.
     pub fn set_idle_grace_ms(&self, ms: f64) {
         self.idle_grace_ms.set(ms);
     }
@@ -101,7 +101,8 @@
         self.shutdown.get().is_some()
     }
 
-    /// When a connection that has been idle since `idle_since` is closed because of the shutdown, ms; infinite before it.
+    /// When a connection that has been idle since `idle_since` is closed because of the shutdown, ms; infinite before
+    /// it.
     pub(super) fn idle_until(&self, idle_since: f64) -> f64 {
         let since = self.shutdown.get().map(|shutdown| shutdown.began.max(idle_since));
         since.map_or(f64::INFINITY, |since| since + self.idle_grace_ms.get())
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The gateway's figures as operators collect them. What is counted elsewhere is read here; nothing is counted twice.
+//! The gateway's metrics page. It reads the counters of the other modules and counts nothing itself.
 
 use crate::core_client::CoreClient;
 use crate::frontend::{Frontend, Lifecycle};
@@ -7,20 +7,20 @@
 use nickeljunction_pacing::TenantStatus;
 use std::rc::Rc;
 
-/// What the figures are read from.
+/// The parts whose counters are written.
 pub struct Sources {
-    /// The clients' side.
+    /// The client side.
     pub front: Rc<Frontend>,
     /// Clients' connections.
     pub lifecycle: Rc<Lifecycle>,
-    /// The servers' side.
+    /// The server side.
     pub proxy: Rc<Proxy>,
-    /// What the core told.
+    /// The client of the core.
     pub link: Rc<CoreClient>,
 }
 
 impl Sources {
-    /// Writes the page each time that it is asked for.
+    /// A function that writes the page at each request for it.
     pub fn writer(self) -> Writer {
         Rc::new(move |page| self.write(page))
     }
@@ -54,12 +54,11 @@
 
     fn clients(&self, page: &mut Page) {
         let counts = self.front.counts();
-        let float = |count: u64| count as f64;
         page.one(
             "edge_client_connections_total",
             Kind::Counter,
             "Connections taken from clients.",
-            float(counts.connections.get()),
+            counts.connections.get() as f64,
         );
         page.one(
             "edge_client_connections",
@@ -71,11 +70,11 @@
             "edge_requests_total",
             Kind::Counter,
             "Requests whose heads were read.",
-            float(counts.requests.get()),
+            counts.requests.get() as f64,
         );
         page.figure("edge_answers_total", Kind::Counter, "Requests by what became of them.");
         for (outcome, status, count) in counts.outcomes() {
-            page.value(&[("outcome", outcome), ("status", status)], float(count));
+            page.value(&[("outcome", outcome), ("status", status)], count as f64);
         }
         page.one(
             "edge_requests_in_flight",
@@ -87,34 +86,33 @@
 
     fn servers(&self, page: &mut Page) {
         let counts = self.proxy.counts();
-        let float = |count: u64| count as f64;
         page.one(
             "edge_first_sends_total",
             Kind::Counter,
             "First sends of requests to servers.",
-            float(counts.first_attempts),
+            counts.first_attempts as f64,
         );
         page.one(
             "edge_further_sends_total",
             Kind::Counter,
             "Sends beyond the first of a request.",
-            float(counts.further_attempts),
+            counts.further_attempts as f64,
         );
         page.one(
             "edge_further_sends_denied_total",
             Kind::Counter,
             "Further sends that the budget did not allow.",
-            float(counts.further_attempts_denied),
+            counts.further_attempts_denied as f64,
         );
         page.figure("edge_sends_ended_total", Kind::Counter, "Sends by how they ended.");
         for (outcome, count) in counts.outcomes() {
-            page.value(&[("outcome", outcome)], float(count));
+            page.value(&[("outcome", outcome)], count as f64);
         }
         page.one(
             "edge_server_connections_total",
             Kind::Counter,
             "Connections opened to servers.",
-            float(counts.connections_opened),
+            counts.connections_opened as f64,
         );
         let (open, idle) = self.proxy.connections();
         page.figure("edge_server_connections", Kind::Gauge, "Connections to servers that are open.");
@@ -123,7 +121,7 @@
     }
 
     fn core(&self, page: &mut Page) {
-        let seen = self.link.status();
+        let status = self.link.status();
         page.one(
             "edge_ready",
             Kind::Gauge,
@@ -134,52 +132,59 @@
             "edge_config_version",
             Kind::Gauge,
             "Version of the configuration in force here, 0 before the first.",
-            seen.config_version as f64,
+            status.config_version as f64,
         );
         page.one(
             "edge_knowledge_age_seconds",
             Kind::Gauge,
             "How old what the core told is.",
-            seen.knowledge_age_ms / 1_000.0,
+            status.knowledge_age_ms / 1_000.0,
         );
         page.one(
             "edge_core_term",
             Kind::Gauge,
             "Term of the leader that was followed last.",
-            seen.term as f64,
+            status.term as f64,
         );
         page.figure("edge_core_leader", Kind::Gauge, "1 for the core machine that is followed.");
-        if let Some(host) = &seen.leader {
+        if let Some(host) = &status.leader {
             page.value(&[("host", host)], 1.0);
         }
         page.figure("edge_units_held", Kind::Gauge, "Units held here that may be spent, by tenant.");
-        for units in &seen.units {
+        for units in &status.units {
             page.value(&[("tenant", &units.tenant)], units.held as f64);
         }
         page.figure("edge_units_spent", Kind::Gauge, "Units spent here in the window of now, by tenant.");
-        for units in &seen.units {
+        for units in &status.units {
             page.value(&[("tenant", &units.tenant)], units.spent as f64);
         }
         self.trials(page);
     }
 
     fn trials(&self, page: &mut Page) {
-        let standings = self.link.ebb().standings();
-        let standings = &standings[..standings.len().min(MOST_LABELLED)];
-        let mut each = |name: &'static str, kind: Kind, help: &str, value: &dyn Fn(&TenantStatus) -> f64| {
-            page.figure(name, kind, help);
-            for standing in standings {
-                page.value(&[("tenant", &standing.tenant)], value(standing));
-            }
-        };
+        let tenants = self.link.ebb().standings();
+        let tenants = &tenants[..tenants.len().min(MOST_LABELLED)];
+        let mut per_tenant =
+            |name: &'static str, kind: Kind, help: &str, value: &dyn Fn(&TenantStatus) -> f64| {
+                page.figure(name, kind, help);
+                for tenant in tenants {
+                    page.value(&[("tenant", &tenant.tenant)], value(tenant));
+                }
+            };
         let (gauge, counter) = (Kind::Gauge, Kind::Counter);
-        each("edge_trial_stage", gauge, "Stage of a lapsed trial in force here.", &|at| f64::from(at.stage));
-        each("edge_trial_waiting", gauge, "Requests held here for a lapsed trial.", &|at| at.waiting as f64);
-        each("edge_trial_held_total", counter, "Requests that were held for it.", &|at| at.delayed.0 as f64);
-        let seconds = |at: &TenantStatus| at.delayed.1 / 1_000.0;
-        each("edge_trial_held_seconds_total", counter, "For how long, added up.", &seconds);
-        each("edge_trial_told_total", counter, "Requests told when to come back.", &|at| {
-            at.retry_later_count as f64
+        per_tenant("edge_trial_stage", gauge, "Stage of a lapsed trial in force here.", &|tenant| {
+            f64::from(tenant.stage)
+        });
+        per_tenant("edge_trial_waiting", gauge, "Requests held here for a lapsed trial.", &|tenant| {
+            tenant.waiting as f64
+        });
+        per_tenant("edge_trial_held_total", counter, "Requests that were held for it.", &|tenant| {
+            tenant.delayed.0 as f64
+        });
+        let seconds = |tenant: &TenantStatus| tenant.delayed.1 / 1_000.0;
+        per_tenant("edge_trial_held_seconds_total", counter, "For how long, added up.", &seconds);
+        per_tenant("edge_trial_told_total", counter, "Requests told when to come back.", &|tenant| {
+            tenant.retry_later_count as f64
         });
     }
 }
@@ -198,8 +203,8 @@
     use nickeljunction_net::wheel::Wheel;
     use nickeljunction_schema::Bounds;
 
-    /// Operators' boards go by these.
-    const NAMES: &str = "edge_client_connections_total edge_client_connections edge_requests_total \
+    /// Operators' dashboards depend on these names.
+    const METRIC_NAMES: &str = "edge_client_connections_total edge_client_connections edge_requests_total \
         edge_answers_total edge_requests_in_flight edge_first_sends_total edge_further_sends_total \
         edge_further_sends_denied_total edge_sends_ended_total edge_server_connections_total \
         edge_server_connections edge_claims_total edge_claim_seconds_total edge_operations_total edge_recalls_total edge_operations \
@@ -208,13 +213,13 @@
         edge_trial_held_total edge_trial_held_seconds_total edge_trial_told_total";
 
     #[test]
-    fn the_page_reads_as_the_format_wants_and_names_stay() {
+    fn metrics_page_is_well_formed_and_keeps_its_metric_names() {
         let wheel = Wheel::new(Clock::start());
         let place = Place { name: "edge-1".into(), zone: "z".into(), region: "r".into() };
         let budget = Budget::new(64);
         let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), 1, ProxyTuning::default());
         let table = Rc::new(Swap::new(Table::empty()));
-        let own = GatewayIdentity {
+        let identity = GatewayIdentity {
             place,
             client_address: "127.0.0.1:1".into(),
             inner_port: 1,
@@ -224,16 +229,18 @@
             serves_directory: false,
         };
         let caller = Caller::new(wheel.clone());
-        let link = CoreClient::new(own, wheel.clone(), caller, table.clone(), proxy.clone(), Vec::new(), 1);
+        let core_client =
+            CoreClient::new(identity, wheel.clone(), caller, table.clone(), proxy.clone(), Vec::new(), 1);
         let lifecycle = Rc::new(Lifecycle::default());
-        let front = Frontend::new(wheel, table, link.clone(), proxy.clone(), lifecycle.clone(), budget, 1);
+        let front =
+            Frontend::new(wheel, table, core_client.clone(), proxy.clone(), lifecycle.clone(), budget, 1);
         let counts = front.counts();
         counts.refused.set(5);
         counts.stale.set(2);
         let mut page = Page::new();
-        Sources { front, lifecycle, proxy, link }.writer()(&mut page);
+        Sources { front, lifecycle, proxy, link: core_client }.writer()(&mut page);
         let text = page.into_text();
-        let names: Vec<String> = NAMES.split_whitespace().map(String::from).collect();
+        let names: Vec<String> = METRIC_NAMES.split_whitespace().map(String::from).collect();
         assert_eq!(well_formed(&text), Ok(names), "{text}");
         for line in [
             "edge_answers_total{outcome=\"stale\",status=\"503\"} 2",
--- a/crates/edge/src/reply.rs
+++ b/crates/edge/src/reply.rs
@@ -107,8 +107,8 @@
 /// Writes the head of a server's answer and returns its body. Status, end-to-end header lines and body stay unchanged.
 ///
 /// # Errors
-/// Writes nothing if the body has no known length and the client speaks HTTP/1.0: it couldn't tell a complete body from a
-/// truncated one.
+/// Writes nothing if the body has no known length and the client speaks HTTP/1.0: it couldn't tell a complete body from
+/// a truncated one.
 pub fn put_served_reply(
     out: &mut BytesMut,
     served: Served,
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -1,4 +1,4 @@
-//! Brings the parts up and down.
+//! Starts the parts of a gateway, and shuts them down in order.
 
 use crate::core_client::{CoreClient, GatewayIdentity};
 use crate::drain::drain;
@@ -26,32 +26,32 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// Where the platform asks whether this gateway is ready.
-const READINESS: &str = "/-/readiness";
-/// Where clients ask where to go.
-const RESOLVE: &str = "/-/resolve";
-/// Clients keep the directory's answer for so long, s.
-const TTL_S: f64 = 4.0;
-/// Clients that ask the directory at once.
-const MOST_ASKING: usize = 256;
-/// Gateways that ask at once what became of operations.
-const MOST_RECALLING: usize = 64;
-/// Of the machine's descriptors so many are for files and the system's own connections.
-const OTHER_DESCRIPTORS: u32 = 232;
-/// Between two rounds of counts in the log, ms.
-const NOTE_MS: f64 = 5_000.0;
+/// Path of the readiness probe.
+const READINESS_PATH: &str = "/-/readiness";
+/// Path of the directory, which names gateways to clients.
+const RESOLVE_PATH: &str = "/-/resolve";
+/// How long clients may cache the directory's answer, s.
+const DIRECTORY_TTL_S: f64 = 4.0;
+/// Most connections to the directory at a time.
+const MAX_DIRECTORY_CONNECTIONS: usize = 256;
+/// Most connections of other gateways that query the outcome of operations.
+const MAX_RECALL_CONNECTIONS: usize = 64;
+/// File descriptors reserved for files and for connections between the system's machines.
+const RESERVED_DESCRIPTORS: u32 = 232;
+/// Interval of the counters in the log, ms.
+const LOG_INTERVAL_MS: f64 = 5_000.0;
 
 quick_error! {
     /// Why the program could not start.
     #[derive(Debug)]
     pub enum ServeError {
-        /// The settings.
+        /// The settings are invalid.
         Settings(cause: SettingsError) {
             from()
             display("{}", cause)
             source(cause)
         }
-        /// Listeners and the like.
+        /// A listener or a signal handler could not be set up.
         Start(cause: StartError) {
             from()
             display("{}", cause)
@@ -60,7 +60,7 @@
     }
 }
 
-/// `/-/readiness`.
+/// Answers the readiness probe.
 struct Readiness(Rc<CoreClient>);
 
 impl Resource for Readiness {
@@ -74,19 +74,19 @@
     }
 }
 
-fn hosts(seeds: &[SocketAddr]) -> Vec<String> {
+fn seed_hosts(seeds: &[SocketAddr]) -> Vec<String> {
     seeds.iter().map(|seed| seed.ip().to_string()).collect()
 }
 
-/// Serves until SIGTERM; figures at this place, where one is given.
+/// Serves until SIGTERM or SIGINT; serves metrics at `metrics_address` if it is given.
 ///
 /// # Errors
 /// See [`ServeError`].
-pub async fn run(settings: Settings, figures_at: Option<figures::Place>) -> Result<(), ServeError> {
-    // Before anything listens: a signal that is not taken ends the process.
+pub async fn run(settings: Settings, metrics_address: Option<figures::Place>) -> Result<(), ServeError> {
+    // Before anything listens: a signal without a handler kills the process.
     let orders = Orders::new()?;
     let addresses = settings.edge_checked()?;
-    let mut dice = fastrand::Rng::new();
+    let mut rng = fastrand::Rng::new();
     let wheel = Wheel::new(Clock::start());
     let bounds = settings.bounds.clone();
     let place = Place {
@@ -94,19 +94,19 @@
         zone: settings.zone.clone(),
         region: settings.region.clone(),
     };
-    let sockets = settings.limits.max_file_descriptors.saturating_sub(OTHER_DESCRIPTORS).max(64);
-    let budget = Budget::new(sockets as usize);
+    let max_sockets = settings.limits.max_file_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64);
+    let budget = Budget::new(max_sockets as usize);
     let tuning = ProxyTuning {
         retry_window_ms: (bounds.retry_window_s * 1_000.0) as u64,
         retry_ratio: bounds.retry_budget_ratio,
         retry_slack: bounds.retry_slack as u32,
         ..ProxyTuning::default()
     };
-    let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), dice.u64(..), tuning);
+    let proxy = Proxy::new(wheel.clone(), budget.clone(), place.clone(), rng.u64(..), tuning);
     let table = Rc::new(Swap::new(Table::empty()));
     let caller = Caller::new(wheel.clone());
-    let incarnation = dice.u64(..);
-    let own = GatewayIdentity {
+    let incarnation = rng.u64(..);
+    let identity = GatewayIdentity {
         place,
         client_address: addresses.frontend.to_string(),
         inner_port: addresses.inner_port,
@@ -115,40 +115,43 @@
         zones: settings.zones.clone(),
         serves_directory: addresses.directory.is_some(),
     };
-    let seeds = hosts(&addresses.seeds);
-    let link = CoreClient::new(own, wheel.clone(), caller, table.clone(), proxy.clone(), seeds, dice.u64(..));
-    let units: Rc<dyn Admission> = link.clone();
+    let seeds = seed_hosts(&addresses.seeds);
+    let core_client =
+        CoreClient::new(identity, wheel.clone(), caller, table.clone(), proxy.clone(), seeds, rng.u64(..));
+    let units: Rc<dyn Admission> = core_client.clone();
     proxy.units(Rc::downgrade(&units));
     let lifecycle = Rc::new(Lifecycle::default());
     let front = Frontend::new(
         wheel.clone(),
         table,
-        link.clone(),
+        core_client.clone(),
         proxy.clone(),
         lifecycle.clone(),
         budget,
-        dice.u64(..),
+        rng.u64(..),
     );
     let operations = Operations::new(claimant_host(addresses.ip), incarnation, bounds.key_window_s * 1_000.0);
     let operations = Rc::new(RefCell::new(operations));
-    front.set_keyed_operations(KeyedOperations::new(wheel.clone(), operations.clone(), link.clone()));
+    front.set_keyed_operations(KeyedOperations::new(wheel.clone(), operations.clone(), core_client.clone()));
     let inner = listen("inner calls", SocketAddr::new(addresses.ip, addresses.inner_port)).await?;
-    let recalls = Desk::new(wheel.clone(), Limits { connections: MOST_RECALLING, ..Limits::default() })
-        .route(path::RECALL, Rc::new(Recall::new(wheel.clone(), operations)));
+    let recalls =
+        Desk::new(wheel.clone(), Limits { connections: MAX_RECALL_CONNECTIONS, ..Limits::default() })
+            .route(path::RECALL, Rc::new(Recall::new(wheel.clone(), operations)));
     let clients = listen("clients", addresses.frontend).await?;
     let readiness = listen("readiness", addresses.readiness).await?;
     let desk = Desk::new(wheel.clone(), Limits { connections: 16, ..Limits::default() })
-        .route(READINESS, Rc::new(Readiness(link.clone())));
+        .route(READINESS_PATH, Rc::new(Readiness(core_client.clone())));
     if let Some(address) = addresses.directory {
-        let resolve = Resolve::new(link.clone(), dice.u64(..), TTL_S.min(bounds.ttl_max_s));
-        let desk = Desk::new(wheel.clone(), Limits { connections: MOST_ASKING, ..Limits::default() });
-        let desk = desk.route(RESOLVE, Rc::new(resolve));
+        let resolve = Resolve::new(core_client.clone(), rng.u64(..), DIRECTORY_TTL_S.min(bounds.ttl_max_s));
+        let desk =
+            Desk::new(wheel.clone(), Limits { connections: MAX_DIRECTORY_CONNECTIONS, ..Limits::default() });
+        let desk = desk.route(RESOLVE_PATH, Rc::new(resolve));
         tokio::task::spawn_local(Rc::new(desk).serve(listen("directory", address).await?));
     }
-    // Last of all that listens: its port is fixed, the others are the day's.
-    if let Some(place) = figures_at {
+    // The last listener: its port is fixed, while those of the others vary with the settings.
+    if let Some(place) = metrics_address {
         let (front, lifecycle) = (front.clone(), lifecycle.clone());
-        let sources = Sources { front, lifecycle, proxy: proxy.clone(), link: link.clone() };
+        let sources = Sources { front, lifecycle, proxy: proxy.clone(), link: core_client.clone() };
         figures::offer_at(&wheel, place, addresses.ip, sources.writer()).await?;
     }
     tokio::task::spawn_local(wheel.clone().run());
@@ -156,28 +159,28 @@
     tokio::task::spawn_local(Rc::new(desk).serve(readiness));
     tokio::task::spawn_local(Rc::new(recalls).serve(inner));
     tokio::task::spawn_local(front.clone().serve(clients));
-    tokio::task::spawn_local(link.clone().run_watch());
-    tokio::task::spawn_local(link.clone().run_quota_sync());
-    tokio::task::spawn_local(link.ebb().clone().share(link.clone()));
-    let leaving = proxy.clone();
-    tokio::task::spawn_local(note(wheel.clone(), front, proxy));
+    tokio::task::spawn_local(core_client.clone().run_watch());
+    tokio::task::spawn_local(core_client.clone().run_quota_sync());
+    tokio::task::spawn_local(core_client.ebb().clone().share(core_client.clone()));
+    tokio::task::spawn_local(log_counters(wheel.clone(), front, proxy.clone()));
     log::info!("event=serving name={} front={}", settings.node_name, addresses.frontend);
 
-    wait_for_stop(orders, &settings, &link).await;
+    wait_for_stop(orders, &settings, &core_client).await;
     let (stalled_ms, late_ms) = (wheel.stalled_ms(), wheel.unseen_ms());
     let shutdown = Shutdown::begin(wheel.now(), late_ms, bounds.grace_s * 1_000.0);
     let open = lifecycle.open_connections();
     let name = &settings.node_name;
     log::info!("event=leaving name={name} open={open} stalled_ms={stalled_ms:.0} late_ms={late_ms:.0}");
-    link.begin_shutdown();
-    leaving.leave(shutdown);
+    core_client.begin_shutdown();
+    proxy.leave(shutdown);
     lifecycle.begin_shutdown(shutdown);
-    drain(&wheel, &lifecycle, shutdown, link.return_units()).await;
+    drain(&wheel, &lifecycle, shutdown, core_client.return_units()).await;
     log::info!("event=left name={} open={}", settings.node_name, lifecycle.open_connections());
     Ok(())
 }
 
-/// Where other gateways ask for this one's operations. Claims name IPv4 addresses only: elsewhere they are in doubt.
+/// The address at which other gateways query this one's operations. Claims can only name IPv4 addresses: with an IPv6
+/// address, operations that other gateways ask about stay in doubt.
 fn claimant_host(ip: IpAddr) -> Ipv4Addr {
     match ip.to_canonical() {
         IpAddr::V4(host) => host,
@@ -185,9 +188,9 @@
     }
 }
 
-async fn note(wheel: Wheel, front: Rc<Frontend>, proxy: Rc<Proxy>) {
+async fn log_counters(wheel: Wheel, front: Rc<Frontend>, proxy: Rc<Proxy>) {
     loop {
-        wheel.sleep(NOTE_MS).await;
+        wheel.sleep(LOG_INTERVAL_MS).await;
         log::info!("event=counts {}", front.counts().log_line());
         log::info!("{}", proxy.note());
         if let Some(line) = front.keyed_operations().and_then(|keyed| keyed.log_line()) {
@@ -199,16 +202,16 @@
     }
 }
 
-/// Until SIGTERM or SIGINT; at SIGHUP the seeds of the changed file are taken.
-async fn wait_for_stop(mut orders: Orders, settings: &Settings, link: &CoreClient) {
+/// Returns at SIGTERM or SIGINT; at SIGHUP, reads the settings file again and applies its seeds.
+async fn wait_for_stop(mut orders: Orders, settings: &Settings, core_client: &CoreClient) {
     while orders.next().await == Order::Reload {
         let file = &settings.source;
         match Settings::read(file).and_then(|settings| settings.edge_checked()) {
             Ok(addresses) => {
                 log::info!("event=settings_read file={file:?}");
-                link.set_seeds(hosts(&addresses.seeds));
+                core_client.set_seeds(seed_hosts(&addresses.seeds));
             }
-            // What can't be used changes nothing.
+            // Invalid settings change nothing.
             Err(error) => log::error!("event=settings_refused error={:?}", error.to_string()),
         }
     }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,10 +1,10 @@
-//! Which watch calls a gateway has open at which core hosts, and when it makes another one. No I/O: the time and the random
-//! jitter are arguments.
+//! Which watch calls a gateway has open at which core hosts, and when it makes another one. No I/O: the time and the
+//! random jitter are arguments.
 //!
-//! A late answer doesn't prove that a host has failed. A call that isn't answered in time is overdue: further calls are made
-//! on connections of their own, to the same host and to all others, and the first answer counts. An open call is only
-//! cancelled when another call has been answered or when its own answer would be of no use any more. A link on which every
-//! answer takes longer than the time-out here therefore causes further calls, but the answer still arrives.
+//! A late answer doesn't prove that a host has failed. A call that isn't answered in time is overdue: further calls are
+//! made on connections of their own, to the same host and to all others, and the first answer counts. An open call is
+//! only cancelled when another call has been answered or when its own answer would be of no use any more. A link on
+//! which every answer takes longer than the time-out here therefore causes further calls, but the answer still arrives.
 
 use crate::leader_lookup::LeaderLookup;
 use std::collections::BTreeMap;
@@ -12,14 +12,14 @@
 /// How long the leader may hold a call, ms. Together with the answer's travel time it limits the age of a connected
 /// gateway's configuration.
 pub const HOLD_MS: u64 = 1_000;
-/// A call that isn't answered this long after its hold is overdue, ms. The time is doubled for a call made while another
-/// one to the same host is overdue, since answers delay each other on a link of low bandwidth.
+/// A call that isn't answered this long after its hold is overdue, ms. The time is doubled for a call made while
+/// another one to the same host is overdue, since answers delay each other on a link of low bandwidth.
 pub const OVERDUE_MS: f64 = 400.0;
-/// A call is given up this long after its hold, ms. A new connection over a link on which packets queue for half a second
-/// each way has its answer after 2 s.
+/// A call is given up this long after its hold, ms. A new connection over a link on which packets queue for half a
+/// second each way has its answer after 2 s.
 pub const GIVE_UP_MS: f64 = 3_000.0;
-/// How long connecting for a watch call may take, ms: on a link of low bandwidth with queued packets it takes longer than
-/// other calls may take in total.
+/// How long connecting for a watch call may take, ms: on a link of low bandwidth with queued packets it takes longer
+/// than other calls may take in total.
 pub const CONNECT_TIMEOUT_MS: f64 = 2_000.0;
 /// Most calls open at one host at a time.
 const MAX_CALLS_PER_HOST: usize = 4;
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Calls all hosts that may lead, each independently of the others: in sequence or in rounds, each host that is down
-    /// would cost its time-out.
+    /// Calls all hosts that may lead, each independently of the others: in sequence or in rounds, each host that is
+    /// down would cost its time-out.
     fn call_candidates(&mut self, now: f64, started: &mut Vec<Call>) {
         for host in self.candidate_hosts() {
             let next_at = self.retry_pauses.get(&host).map_or(now, |pause| pause.next_at);
