--- a/crates/edge/src/core_client/claims.rs
+++ b/crates/edge/src/core_client/claims.rs
@@ -24,7 +24,7 @@
 
 impl CoreClient {
     /// The host to call after `failed` attempts: the leader first, then all core hosts in turn.
-    fn claims_host(&self, failed: usize) -> Option<String> {
+    fn host_to_call(&self, failed: usize) -> Option<String> {
         let watcher = self.watcher.borrow();
         if let (0, Some(leader)) = (failed, watcher.leader()) {
             return Some(leader.to_string());
@@ -96,7 +96,7 @@
     async fn claim_until(&self, call: &ClaimCall, until: f64) -> Option<ClaimAnswer> {
         let (mut redirect, mut failed) = (None, 0);
         while self.wheel.now() < until {
-            let host = redirect.take().or_else(|| self.claims_host(failed));
+            let host = redirect.take().or_else(|| self.host_to_call(failed));
             if let Some(host) = host {
                 match self.claim_at(&host, call, until - self.wheel.now()).await {
                     ClaimCallOutcome::Answered(answer) => return Some(answer),
--- a/crates/edge/src/frontend.rs
+++ b/crates/edge/src/frontend.rs
@@ -60,7 +60,7 @@
     pub no_key: Cell<u64>,
     /// Tenant over its quota, or its trial has lapsed (429).
     pub over_quota: Cell<u64>,
-    /// Not executed, to be retried later (503).
+    /// Not executed; the client may retry later (503).
     pub refused: Cell<u64>,
     /// Of the refused ones: too long since the last contact with the core.
     pub stale: Cell<u64>,
@@ -238,7 +238,7 @@
             let accepted = tokio::select! {
                 biased;
                 () = self.lifecycle.stopped_accepting() => continue,
-                // A connection to a server has no slot in the budget.
+                // No slot of the budget is left for a connection to a server.
                 () = self.budget.squeeze.notified() => {
                     self.lifecycle.evict_longest_idle();
                     continue;
@@ -261,6 +261,7 @@
         }
     }
 
+    /// Accepts a connection once the budget has a slot for it, and evicts idle connections until then.
     async fn accept(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, Slot)> {
         let slot = loop {
             match self.budget.terminal() {
@@ -285,7 +286,8 @@
         ClientConnection::new(self, io)
     }
 
-    /// Whether the request may be executed repeatedly: then it is forwarded while earlier ones are unanswered.
+    /// Whether the request may be executed repeatedly. Only such requests are forwarded while earlier ones are
+    /// unanswered.
     fn is_repeatable(&self, head: &RequestHead) -> bool {
         match self.table.get().find(head.host(), head.path()) {
             RouteMatch::Route(route) => route.repeatable,
--- a/crates/edge/src/frontend/connection.rs
+++ b/crates/edge/src/frontend/connection.rs
@@ -68,12 +68,13 @@
     sender: Option<mpsc::Sender<Part>>,
     /// Parts that wait for capacity; nothing is read from the client meanwhile.
     backlog: VecDeque<Part>,
+    /// The wait for capacity, while the channel is full.
     capacity: Option<Capacity>,
 }
 
 /// A request that is not yet answered.
 struct Pending {
-    /// Its answer may be streamed, and may break off and close the connection.
+    /// Its answer is expected to be large: it may break off, and the connection with it.
     large_answer: bool,
     /// Produces the reply; `None` once it is there.
     handler: Option<Pin<Box<dyn Future<Output = Reply>>>>,
@@ -83,6 +84,7 @@
     http_minor: u8,
 }
 
+/// What a connection waits for.
 enum Event {
     /// The next answer can be written.
     Answer,
@@ -106,7 +108,7 @@
 
 /// One client's connection.
 pub(super) struct ClientConnection<S> {
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     io: S,
     entry: Entry,
     /// Bytes received and not yet parsed.
@@ -135,12 +137,12 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
-    pub(super) fn new(front: Rc<Frontend>, io: S) -> ClientConnection<S> {
-        let now = front.wheel.now();
-        let entry = Entry::new(front.lifecycle.clone(), now);
-        let idle_ms = front.table.get().bounds.idle_ms;
+    pub(super) fn new(frontend: Rc<Frontend>, io: S) -> ClientConnection<S> {
+        let now = frontend.wheel.now();
+        let entry = Entry::new(frontend.lifecycle.clone(), now);
+        let idle_ms = frontend.table.get().bounds.idle_ms;
         ClientConnection {
-            front,
+            frontend,
             io,
             entry,
             input: BytesMut::new(),
@@ -189,7 +191,7 @@
                 Event::TimedOut => self.on_timeout(),
                 Event::Closed => {
                     if !self.queue.is_empty() {
-                        count(&self.front.counts.client_gone);
+                        count(&self.frontend.counts.client_gone);
                     }
                     return;
                 }
@@ -197,7 +199,7 @@
         }
     }
 
-    /// No request is being received, and none is unanswered.
+    /// Whether no request is being received and none is unanswered.
     fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.input.is_empty() && matches!(self.reading, Reading::Head)
     }
@@ -218,7 +220,7 @@
                         (Some(permit), Some(part)) => drop(permit.send(part)),
                         _ => upload.sender = None,
                     }
-                    self.last_progress = self.front.wheel.now();
+                    self.last_progress = self.frontend.wheel.now();
                     return Poll::Ready(Event::Progress);
                 }
             }
@@ -230,7 +232,7 @@
         if self.entry.connection.is_evicted() && self.is_idle() {
             return Poll::Ready(Event::Closed);
         }
-        let shutting_down = self.front.lifecycle.is_shutting_down();
+        let shutting_down = self.frontend.lifecycle.is_shutting_down();
         if std::mem::replace(&mut self.saw_shutdown, shutting_down) != shutting_down {
             return Poll::Ready(Event::Progress);
         }
@@ -239,13 +241,13 @@
 
     /// Polls the handlers of the unanswered requests; at the end of the shutdown, answers those that are still pending.
     fn poll_handlers(&mut self, context: &mut Context<'_>) {
-        let ended = self.front.lifecycle.is_failing_unanswered();
+        let failing_unanswered = self.frontend.lifecycle.is_failing_unanswered();
         for pending in &mut self.queue {
             let Some(handler) = &mut pending.handler else { continue };
             if let Poll::Ready(reply) = handler.as_mut().poll(context) {
                 (pending.handler, pending.reply) = (None, Some(reply));
-            } else if ended {
-                count(&self.front.counts.cut_by_end);
+            } else if failing_unanswered {
+                count(&self.frontend.counts.cut_by_end);
                 let timed_out = LocalReply::new(504, "the gateway ended before a server had answered");
                 (pending.handler, pending.reply) = (None, Some(Reply::Local(timed_out)));
             }
@@ -263,8 +265,8 @@
         if !reads {
             return Poll::Pending;
         }
-        let mut scratch = self.front.read_buffer.borrow_mut();
-        let mut space = ReadBuf::new(&mut scratch);
+        let mut buffer = self.frontend.read_buffer.borrow_mut();
+        let mut space = ReadBuf::new(&mut buffer);
         match Pin::new(&mut self.io).poll_read(context, &mut space) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Err(_)) => return Poll::Ready(false),
@@ -277,7 +279,7 @@
             Reading::Head if self.head_begun => self.input.extend_from_slice(space.filled()),
             _ => {
                 self.input.extend_from_slice(space.filled());
-                self.last_progress = self.front.wheel.now();
+                self.last_progress = self.frontend.wheel.now();
             }
         }
         Poll::Ready(true)
@@ -285,8 +287,8 @@
 
     /// When the present state times out, ms of the program's clock.
     fn deadline(&self) -> f64 {
-        let bounds = &self.front.table.get().bounds;
-        let lifecycle = &self.front.lifecycle;
+        let bounds = &self.frontend.table.get().bounds;
+        let lifecycle = &self.frontend.lifecycle;
         match &self.reading {
             Reading::Head if self.is_idle() => {
                 (self.idle_since + self.idle_ms).min(lifecycle.idle_until(self.idle_since))
@@ -314,11 +316,11 @@
                         return Poll::Pending;
                     }
                     self.timer = None;
-                    if self.front.wheel.now() >= deadline {
+                    if self.frontend.wheel.now() >= deadline {
                         return Poll::Ready(Event::TimedOut);
                     }
                 }
-                _ => self.timer = Some((deadline, self.front.wheel.sleep_until(deadline))),
+                _ => self.timer = Some((deadline, self.frontend.wheel.sleep_until(deadline))),
             }
         }
     }
@@ -330,7 +332,7 @@
                 self.queue_local_reply(LocalReply::new(408, "request not whole in time"), None, false, 1);
                 self.reading = Reading::Closed;
             }
-            // The request has been forwarded or answered: its answer stays valid, and says whether it was executed.
+            // The request has been forwarded or answered. Its answer stays valid, and says whether it was executed.
             Reading::Upload(_) | Reading::Discard(_) => self.reading = Reading::Closed,
             Reading::Deferred(_) | Reading::Closed => {}
         }
@@ -367,12 +369,12 @@
     fn read_head(&mut self) -> (Reading, bool) {
         let ahead = self.queue.len();
         // During shutdown the last pending answer closes the connection: requests pipelined behind it stay unread.
-        if ahead >= MAX_PIPELINED || (ahead > 0 && self.front.lifecycle.is_shutting_down()) {
+        if ahead >= MAX_PIPELINED || (ahead > 0 && self.frontend.lifecycle.is_shutting_down()) {
             self.head_begun = false;
             return (Reading::Head, false);
         }
-        let now = self.front.wheel.now();
-        let max_head_bytes = self.front.table.get().bounds.head;
+        let now = self.frontend.wheel.now();
+        let max_head_bytes = self.frontend.table.get().bounds.head;
         match read_request_head(&mut self.input, max_head_bytes) {
             Ok(None) => {
                 if !self.head_begun && !self.input.is_empty() {
@@ -382,7 +384,7 @@
             }
             Ok(Some(head)) => {
                 (self.head_begun, self.last_progress) = (false, now);
-                count(&self.front.counts.requests);
+                count(&self.frontend.counts.requests);
                 if ahead > 0 && !self.may_run_concurrently(&head) {
                     return (Reading::Deferred(Box::new((head, now))), false);
                 }
@@ -403,17 +405,17 @@
             return false;
         }
         let short = matches!(head.framing, Framing::Length(length) if length <= MOST_WHOLE);
-        short && !head.expects_continue() && self.front.is_repeatable(head)
+        short && !head.expects_continue() && self.frontend.is_repeatable(head)
     }
 
     /// Begins a request whose head has been read.
     fn begin(&mut self, head: RequestHead, arrived: f64) -> Reading {
         let (framing, expects_continue) = (head.framing, head.expects_continue());
-        let reader = match BodyReader::new(framing, self.front.table.get().bounds.body) {
+        let reader = match BodyReader::new(framing, self.frontend.table.get().bounds.body) {
             Ok(reader) => reader,
             Err(error) => return self.reject(&head, malformed(&error), None),
         };
-        let routed = match self.front.route_request(&head, arrived) {
+        let routed = match self.frontend.route_request(&head, arrived) {
             Ok(routed) => routed,
             Err(reply) => return self.reject(&head, reply, Some(reader)),
         };
@@ -470,7 +472,7 @@
         let (is_head, http_minor) = (head.method == "HEAD", head.minor);
         let attempt_id = Some(routed.attempt_id.clone());
         let large_answer = routed.route.large_answers;
-        let handler = Some(Box::pin(self.front.clone().handle_request(head, routed, body)) as Pin<Box<_>>);
+        let handler = Some(Box::pin(self.frontend.clone().handle_request(head, routed, body)) as Pin<Box<_>>);
         self.queue.push_back(Pending { large_answer, handler, reply: None, attempt_id, is_head, http_minor });
         next
     }
@@ -601,19 +603,19 @@
                 self.reading = upload.skip_rest();
             }
         }
-        let shutting_down = self.front.lifecycle.is_shutting_down();
+        let shutting_down = self.frontend.lifecycle.is_shutting_down();
         // Requests behind it have been forwarded: they are answered before the connection is closed, whatever the
         // reason.
         let closing =
             shutting_down || self.entry.connection.is_evicted() || matches!(self.reading, Reading::Closed);
         let close = closing && self.queue.is_empty();
-        self.idle_ms = self.front.table.get().bounds.idle_ms;
+        self.idle_ms = self.frontend.table.get().bounds.idle_ms;
         let context = ReplyContext { close, http_minor, is_head, idle_timeout_ms: self.idle_ms };
         self.writing = true;
         let written =
             self.write_reply(reply, attempt_id.as_deref(), &context).await && self.io.flush().await.is_ok();
         self.writing = false;
-        (self.idle_since, self.last_progress) = (self.front.wheel.now(), self.front.wheel.now());
+        (self.idle_since, self.last_progress) = (self.frontend.wheel.now(), self.frontend.wheel.now());
         match (written, close) {
             (false, _) => Written::Broken,
             (true, true) => Written::Last,
@@ -628,7 +630,7 @@
             Reply::Local(reply) => Err(reply),
             Reply::Served(served) => put_served_reply(&mut out, served, context),
         };
-        let counts = &self.front.clone().counts;
+        let counts = &self.frontend.clone().counts;
         let written = match body {
             Err(reply) => {
                 counts.count_local_reply(reply.status);
@@ -709,8 +711,8 @@
             let result = match poll_fn(|context| Poll::Ready(write.as_mut().poll(context))).await {
                 Poll::Ready(result) => Some(result),
                 Poll::Pending => {
-                    let timeout = self.front.table.get().bounds.idle_ms;
-                    self.front.wheel.timeout(timeout, write).await
+                    let timeout = self.frontend.table.get().bounds.idle_ms;
+                    self.frontend.wheel.timeout(timeout, write).await
                 }
             };
             if !matches!(result, Some(Ok(1..))) {
@@ -722,17 +724,17 @@
 
     /// After the last answer: shuts down the write side and waits for the client to close its own.
     async fn linger(mut self) {
-        self.entry.set_idle(Some(self.front.wheel.now()));
+        self.entry.set_idle(Some(self.frontend.wheel.now()));
         self.entry.connection.evict();
         (self.input, self.timer) = (BytesMut::new(), None);
-        let front = self.front.clone();
+        let frontend = self.frontend.clone();
         let drain = async {
             let mut left = MAX_LINGER_BYTES;
             let mut open = self.io.shutdown().await.is_ok();
             while open && left > 0 {
                 let read = poll_fn(|context| {
-                    let mut scratch = front.read_buffer.borrow_mut();
-                    let mut space = ReadBuf::new(&mut scratch);
+                    let mut buffer = frontend.read_buffer.borrow_mut();
+                    let mut space = ReadBuf::new(&mut buffer);
                     Pin::new(&mut self.io).poll_read(context, &mut space).map_ok(|()| space.filled().len())
                 });
                 let read = read.await.unwrap_or(0);
@@ -740,7 +742,7 @@
                 open = read > 0;
             }
         };
-        front.wheel.timeout(LINGER_MS, drain).await;
+        frontend.wheel.timeout(LINGER_MS, drain).await;
     }
 }
 
--- a/crates/edge/src/frontend/keyed.rs
+++ b/crates/edge/src/frontend/keyed.rs
@@ -45,13 +45,13 @@
 /// Outcomes of claims, in addition to the counts of [`Operations`].
 #[derive(Debug, Default)]
 pub struct KeyedCounts {
-    /// Granted by the leader.
+    /// Claims granted by the leader.
     pub granted: Cell<u64>,
-    /// Total time that granting them took, ms.
+    /// Total time that the granted claims took, ms.
     pub granted_ms: Cell<f64>,
-    /// Held by another claim.
+    /// Claims refused because another claim holds the operation.
     pub held: Cell<u64>,
-    /// Not answered by the leader in time.
+    /// Claims that the leader did not answer in time.
     pub unanswered: Cell<u64>,
     /// Queries that the holder of a claim did not answer.
     pub holder_silent: Cell<u64>,
@@ -106,7 +106,7 @@
 }
 
 impl KeyedOperations {
-    /// Keyed operations recorded in this table.
+    /// Keyed operations that are recorded in `operations` and claimed through `claims`.
     pub fn new(
         wheel: Wheel,
         operations: Rc<RefCell<Operations>>,
@@ -182,7 +182,7 @@
                 Step::Claim(call) => {
                     let number = call.claimant.number;
                     let claim = Claim { keyed: self.clone(), id: operation.id, number, may_have_run: false };
-                    let answer = self.ask_leader(&call, until).await;
+                    let answer = self.claim_at_leader(&call, until).await;
                     let mut table = self.operations.borrow_mut();
                     match claiming.claimed(self.wheel.now(), &mut table, answer) {
                         None => return Ok(claim),
@@ -231,7 +231,7 @@
         client: &ReplySender,
     ) -> Option<RecallAnswer> {
         loop {
-            let answer = self.ask_holder(call, routed).await;
+            let answer = self.query_holder(call, routed).await;
             let in_progress = answer == Some(RecallAnswer::InProgress);
             if !in_progress || !self.wait_for_first(routed, client, REMOTE_POLL_MS).await {
                 return answer;
@@ -239,7 +239,7 @@
         }
     }
 
-    async fn ask_leader(&self, call: &ClaimCall, until: f64) -> Option<ClaimAnswer> {
+    async fn claim_at_leader(&self, call: &ClaimCall, until: f64) -> Option<ClaimAnswer> {
         let asked_at = self.wheel.now();
         let answer = self.claims.claim(call, until).await;
         match answer {
@@ -254,7 +254,7 @@
         answer
     }
 
-    async fn ask_holder(&self, call: &RecallCall, routed: &RoutedRequest) -> Option<RecallAnswer> {
+    async fn query_holder(&self, call: &RecallCall, routed: &RoutedRequest) -> Option<RecallAnswer> {
         let left_ms = routed.arrived + routed.time_limit_ms - self.wheel.now();
         let answer = self.claims.recall(call, left_ms.min(RECALL_TIMEOUT_MS)).await;
         if answer.is_none() {
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -232,13 +232,13 @@
         let core_client =
             CoreClient::new(identity, wheel.clone(), caller, table.clone(), proxy.clone(), Vec::new(), 1);
         let lifecycle = Rc::new(Lifecycle::default());
-        let front =
+        let frontend =
             Frontend::new(wheel, table, core_client.clone(), proxy.clone(), lifecycle.clone(), budget, 1);
-        let counts = front.counts();
+        let counts = frontend.counts();
         counts.refused.set(5);
         counts.stale.set(2);
         let mut page = Page::new();
-        Sources { front, lifecycle, proxy, link: core_client }.writer()(&mut page);
+        Sources { front: frontend, lifecycle, proxy, link: core_client }.writer()(&mut page);
         let text = page.into_text();
         let names: Vec<String> = METRIC_NAMES.split_whitespace().map(String::from).collect();
         assert_eq!(well_formed(&text), Ok(names), "{text}");
--- a/crates/edge/src/reply.rs
+++ b/crates/edge/src/reply.rs
@@ -37,8 +37,8 @@
 
     /// The request has not been executed and won't be; the client may retry after this pause (0: not known).
     pub fn refusal(status: u16, error: &'static str, pause_ms: f64) -> LocalReply {
-        let known = pause_ms.is_finite() && pause_ms > 0.0;
-        let pause_ms = if known { pause_ms.max(MIN_RETRY_AFTER_MS) } else { DEFAULT_RETRY_AFTER_MS };
+        let has_pause = pause_ms.is_finite() && pause_ms > 0.0;
+        let pause_ms = if has_pause { pause_ms.max(MIN_RETRY_AFTER_MS) } else { DEFAULT_RETRY_AFTER_MS };
         LocalReply { status, error, retry_after_ms: Some(pause_ms) }
     }
 }
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -28,6 +28,8 @@
 
 /// Path of the readiness probe.
 const READINESS_PATH: &str = "/-/readiness";
+/// Most connections to the readiness probe at a time.
+const MAX_READINESS_CONNECTIONS: usize = 16;
 /// Path of the directory, which names gateways to clients.
 const RESOLVE_PATH: &str = "/-/resolve";
 /// How long clients may cache the directory's answer, s.
@@ -121,7 +123,7 @@
     let units: Rc<dyn Admission> = core_client.clone();
     proxy.units(Rc::downgrade(&units));
     let lifecycle = Rc::new(Lifecycle::default());
-    let front = Frontend::new(
+    let frontend = Frontend::new(
         wheel.clone(),
         table,
         core_client.clone(),
@@ -132,15 +134,20 @@
     );
     let operations = Operations::new(claimant_host(addresses.ip), incarnation, bounds.key_window_s * 1_000.0);
     let operations = Rc::new(RefCell::new(operations));
-    front.set_keyed_operations(KeyedOperations::new(wheel.clone(), operations.clone(), core_client.clone()));
+    frontend.set_keyed_operations(KeyedOperations::new(
+        wheel.clone(),
+        operations.clone(),
+        core_client.clone(),
+    ));
     let inner = listen("inner calls", SocketAddr::new(addresses.ip, addresses.inner_port)).await?;
-    let recalls =
+    let recall_desk =
         Desk::new(wheel.clone(), Limits { connections: MAX_RECALL_CONNECTIONS, ..Limits::default() })
             .route(path::RECALL, Rc::new(Recall::new(wheel.clone(), operations)));
     let clients = listen("clients", addresses.frontend).await?;
     let readiness = listen("readiness", addresses.readiness).await?;
-    let desk = Desk::new(wheel.clone(), Limits { connections: 16, ..Limits::default() })
-        .route(READINESS_PATH, Rc::new(Readiness(core_client.clone())));
+    let readiness_desk =
+        Desk::new(wheel.clone(), Limits { connections: MAX_READINESS_CONNECTIONS, ..Limits::default() })
+            .route(READINESS_PATH, Rc::new(Readiness(core_client.clone())));
     if let Some(address) = addresses.directory {
         let resolve = Resolve::new(core_client.clone(), rng.u64(..), DIRECTORY_TTL_S.min(bounds.ttl_max_s));
         let desk =
@@ -150,19 +157,19 @@
     }
     // The last listener: its port is fixed, while those of the others vary with the settings.
     if let Some(place) = metrics_address {
-        let (front, lifecycle) = (front.clone(), lifecycle.clone());
+        let (front, lifecycle) = (frontend.clone(), lifecycle.clone());
         let sources = Sources { front, lifecycle, proxy: proxy.clone(), link: core_client.clone() };
         figures::offer_at(&wheel, place, addresses.ip, sources.writer()).await?;
     }
     tokio::task::spawn_local(wheel.clone().run());
     tokio::task::spawn_local(proxy.clone().run());
-    tokio::task::spawn_local(Rc::new(desk).serve(readiness));
-    tokio::task::spawn_local(Rc::new(recalls).serve(inner));
-    tokio::task::spawn_local(front.clone().serve(clients));
+    tokio::task::spawn_local(Rc::new(readiness_desk).serve(readiness));
+    tokio::task::spawn_local(Rc::new(recall_desk).serve(inner));
+    tokio::task::spawn_local(frontend.clone().serve(clients));
     tokio::task::spawn_local(core_client.clone().run_watch());
     tokio::task::spawn_local(core_client.clone().run_quota_sync());
     tokio::task::spawn_local(core_client.ebb().clone().share(core_client.clone()));
-    tokio::task::spawn_local(log_counters(wheel.clone(), front, proxy.clone()));
+    tokio::task::spawn_local(log_counters(wheel.clone(), frontend, proxy.clone()));
     log::info!("event=serving name={} front={}", settings.node_name, addresses.frontend);
 
     wait_for_stop(orders, &settings, &core_client).await;
@@ -188,15 +195,15 @@
     }
 }
 
-async fn log_counters(wheel: Wheel, front: Rc<Frontend>, proxy: Rc<Proxy>) {
+async fn log_counters(wheel: Wheel, frontend: Rc<Frontend>, proxy: Rc<Proxy>) {
     loop {
         wheel.sleep(LOG_INTERVAL_MS).await;
-        log::info!("event=counts {}", front.counts().log_line());
+        log::info!("event=counts {}", frontend.counts().log_line());
         log::info!("{}", proxy.note());
-        if let Some(line) = front.keyed_operations().and_then(|keyed| keyed.log_line()) {
+        if let Some(line) = frontend.keyed_operations().and_then(|keyed| keyed.log_line()) {
             log::info!("{line}");
         }
-        if let Some(line) = front.over_quota().take() {
+        if let Some(line) = frontend.over_quota().take() {
             log::info!("{line}");
         }
     }
