--- a/crates/edge/src/drain.rs
+++ b/crates/edge/src/drain.rs
@@ -12,7 +12,7 @@
 /// Time for returning quota units and for the last bytes to clients, ms.
 const FINAL_MS: f64 = 150.0;
 
-/// Drains a front whose [`Lifecycle::leave`] has been called. Completes when the process may end: no connection is open,
+/// Drains a front whose [`Lifecycle::begin_shutdown`] has been called. Completes when the process may end: no connection is open,
 /// or the time of the schedule is over. `return_units` runs once no request can begin any more.
 pub async fn drain(
     wheel: &Wheel,
