--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,11 @@
-//! A view of the fleet, kept by the gateways themselves through datagrams. Sans-IO: time, randomness (by seed)
-//! and datagrams come in as arguments, what is to be sent and what changed come out. The driver is in the gateway.
+//! The membership view of the fleet, which the gateways maintain among themselves with datagrams. Sans-IO: time,
+//! randomness (a seed) and received datagrams are arguments; datagrams to send and changes of the view are results.
+//! The driver with the socket is in the gateway.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar, Phillips, Currey 2018),
-//! probes in turn by an agreed clock, and repair by digests of ranges; `docs/design/fleet-view.md` has what was
-//! weighed and `share` the rule by which parts of a whole never add up to more than it.
+//! probe targets that rotate by a common clock, and anti-entropy by digests of number ranges.
+//! `docs/design/fleet-view.md` has the design decisions; `share` has the rule that keeps the sum of all shares at or
+//! below the whole.
 
 #![warn(unreachable_pub)]
 
--- a/crates/fleet/src/machine/change.rs
+++ b/crates/fleet/src/machine/change.rs
@@ -1,43 +1,43 @@
-//! Changes of the view and their causes, as the machine reports them.
+//! Changes of the view and their causes.
 
 use crate::view::MemberState;
 
-/// Why a member's state changed, or what else was noticed.
+/// Why a member's state changed, or which other condition was detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// A datagram came from it.
+    /// A datagram arrived from the member.
     DatagramReceived,
-    /// The gateway of this number said so.
+    /// The gateway with this number reported the state.
     ReportedBy(u16),
-    /// It answered neither this gateway nor its helpers.
+    /// The member answered neither a direct nor an indirect ping.
     ProbeFailed,
-    /// Nobody heard it while it was suspected.
+    /// No datagram arrived from the member during its suspicion.
     SuspicionTimedOut,
-    /// This gateway's own doing: it started, leaves, comes back or has another epoch.
+    /// This gateway started, is leaving, cancelled its leave, or has another configuration epoch.
     LocalEvent,
-    /// This gateway was held to be suspect, gone or leaving, by the gateway of this number, and took it back.
+    /// The gateway with this number reported this gateway as suspect, gone or leaving, and this gateway refuted it.
     Refuted(u16),
-    /// An earlier life of this gateway had a clock that was ahead.
+    /// An earlier process of this gateway had a clock ahead of the present one.
     ClockWentBackwards,
-    /// Another process claims this gateway's number; this one stays and the other should leave.
+    /// Another process claims this gateway's number; this process keeps the number and the other should stop.
     DuplicateNumber,
-    /// Another process claims this gateway's number, and this one yields: it says nothing more of itself.
+    /// Another process claims this gateway's number; this process yields and sends nothing more.
     YieldedNumber,
-    /// This process did nothing for so many ms.
+    /// This process did not run for this many ms.
     Hung(u64),
 }
 
 /// A change of the view.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Change {
-    /// When, ms.
+    /// Time of the change by this gateway's clock, Unix ms.
     pub at_ms: f64,
-    /// Whose.
+    /// The member's number.
     pub number: u16,
-    /// Its former state.
+    /// State before the change.
     pub from: MemberState,
-    /// Its state.
+    /// State after the change.
     pub to: MemberState,
-    /// Why.
+    /// The reason for the change.
     pub cause: Cause,
 }
--- a/crates/fleet/src/machine/config.rs
+++ b/crates/fleet/src/machine/config.rs
@@ -1,23 +1,23 @@
-//! What a gateway's membership machine is given at its start.
+//! Start parameters of a gateway's membership machine.
 
 use crate::view::RosterEntry;
 
-/// What a gateway is told at its start.
+/// Start parameters.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its number.
+    /// This gateway's number.
     pub own_number: u16,
-    /// Who may be a member, itself among them; any order.
+    /// The possible members, this gateway included, in any order.
     pub roster: Vec<RosterEntry>,
-    /// Datagrams a second that a gateway takes in; it drops the rest.
+    /// Datagrams per second that a gateway accepts; it drops the rest.
     pub max_received_per_s: f64,
-    /// Epoch of its configuration.
+    /// Epoch of this gateway's configuration.
     pub epoch: u32,
-    /// For random numbers; another one at each start.
+    /// Seed of the random numbers; must differ at each start.
     pub seed: u64,
 }
 
-/// A roster that can't be used: what is wrong and wanted.
+/// The roster is unusable; the text says what is wrong and what is expected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidRoster(pub String);
 
--- a/crates/fleet/src/machine/counts.rs
+++ b/crates/fleet/src/machine/counts.rs
@@ -1,24 +1,24 @@
 //! Counters of the machine since its start.
 
-/// Why a datagram was dropped.
+/// Why a received datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DropReason {
-    /// Checksum, length or form.
+    /// Wrong checksum, length or encoding.
     Damaged,
-    /// Another version's.
+    /// The datagram has another protocol version.
     VersionMismatch,
-    /// From an address, or in the name, of nobody in the roster, or of this gateway itself.
+    /// The address or the sender's number is not in the roster, is this gateway's own, or the two do not match.
     UnknownSender,
-    /// Its sender goes by another roster.
+    /// The sender has another roster.
     RosterMismatch,
-    /// Of an earlier life of its sender.
+    /// The datagram has an older incarnation of its sender.
     Stale,
-    /// More than this gateway takes in, of one member or of all.
+    /// The limit of accepted datagrams, of one member or in total, is exceeded.
     RateLimited,
 }
 
 impl DropReason {
-    /// All reasons.
+    /// All reasons, in the order of [`Counts::dropped`].
     pub const ALL: [DropReason; 6] = [
         DropReason::Damaged,
         DropReason::VersionMismatch,
@@ -28,7 +28,7 @@
         DropReason::RateLimited,
     ];
 
-    /// Its name in figures.
+    /// The name in metrics and in the status output.
     pub fn name(self) -> &'static str {
         match self {
             DropReason::Damaged => "damaged",
@@ -41,30 +41,30 @@
     }
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams and bytes sent.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Bytes sent.
+    /// Bytes in the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that were taken in.
+    /// Datagrams accepted.
     pub received: u64,
     /// Datagrams dropped, in the order of [`DropReason::ALL`].
     pub dropped: [u64; 6],
-    /// Datagrams that were held back for want of room.
+    /// Datagrams not sent because the send budget was used up.
     pub rate_limited: u64,
-    /// Members that this gateway came to suspect by its own probes.
+    /// Members that this gateway's own probes made suspect.
     pub suspected: u64,
-    /// Members that it held to be gone and that turned out to live the same life.
+    /// Members declared gone that later proved to be alive, with the same process.
     pub false_positives: u64,
-    /// Claims on itself that it took back.
+    /// Claims about this gateway that it refuted.
     pub refuted: u64,
 }
 
 impl Counts {
-    /// DropReason for this reason.
-    pub fn dropped(&self, why: DropReason) -> u64 {
-        self.dropped[why as usize]
+    /// Datagrams dropped for this reason.
+    pub fn dropped(&self, reason: DropReason) -> u64 {
+        self.dropped[reason as usize]
     }
 }
--- a/crates/fleet/src/machine/datagrams.rs
+++ b/crates/fleet/src/machine/datagrams.rs
@@ -1,159 +1,170 @@
-//! Datagrams: what is taken in, what is answered, and what may be sent within this gateway's rate.
+//! Receiving, answering and sending datagrams, with limits on both rates.
 
 use super::{Cause, DropReason, Membership};
 use crate::view::MemberState;
-use crate::wire::{Body, Entry, Packet, Unreadable};
+use crate::wire::{Body, DecodeError, Entry, Packet};
 
 impl Membership {
-    /// Takes a datagram that came from the address of member `from`.
-    pub fn receive(&mut self, now: f64, from: u16, bytes: &[u8]) {
-        self.advance(now);
-        let (at, packet) = match self.accept(from, bytes) {
+    /// Processes a datagram that arrived from the address of member `from`.
+    pub fn receive(&mut self, now_ms: f64, from: u16, bytes: &[u8]) {
+        self.advance(now_ms);
+        let (peer, packet) = match self.accept(from, bytes) {
             Ok(accepted) => accepted,
             Err(reason) => return self.count_dropped(reason),
         };
-        let member = self.view.member(at);
+        let member = self.view.member(peer);
         if packet.incarnation < member.incarnation {
             self.count_dropped(DropReason::Stale);
-            // A life of before that lingers, a start with a clock that jumped back, or a process beside the
-            // member: whichever it is, it must hear what is held of its number.
-            self.send_of(at, Body::Gossip, &[at], false);
+            // An earlier process that still runs, a start after the clock moved back, or another process with the
+            // member's number: in each case the sender must learn which incarnation of its number is known here.
+            self.send_entries(peer, Body::Gossip, &[peer], false);
             return;
         }
         self.counts.received += 1;
         if packet.incarnation > member.incarnation || member.state == MemberState::Unknown {
             let state = if packet.leaving { MemberState::Leaving } else { MemberState::Alive };
-            self.set_state(at, state, packet.incarnation, packet.epoch, Cause::DatagramReceived);
+            self.set_state(peer, state, packet.incarnation, packet.epoch, Cause::DatagramReceived);
         }
-        self.view.contact(at).last_received_ms = self.now;
-        self.heard = self.now;
-        for entry in &packet.news {
-            self.hear_claim(packet.from, entry, packet.incarnation);
+        self.view.member_mut(peer).last_received_ms = self.now_ms;
+        self.last_received_ms = self.now_ms;
+        for entry in &packet.entries {
+            self.apply_claim(packet.from, entry, packet.incarnation);
         }
-        self.hear_votes(&packet);
-        // It is held to be suspect or gone and speaks: it must hear that to take it back.
-        let accused = matches!(self.view.member(at).state, MemberState::Suspect | MemberState::Gone);
-        let answers = matches!(packet.body, Body::Ping(_) | Body::PingFor { .. });
-        if accused && !answers {
-            self.send(at, Body::Gossip, false);
+        self.receive_votes(&packet);
+        // The sender is held to be suspect or gone but is alive: it must learn of the claim to refute it.
+        let accused = matches!(self.view.member(peer).state, MemberState::Suspect | MemberState::Gone);
+        let answered_anyway = matches!(packet.body, Body::Ping(_) | Body::PingRequest { .. });
+        if accused && !answered_anyway {
+            self.send(peer, Body::Gossip, false);
         }
         if packet.digest != self.view.digest() as u32 {
-            self.differs = Some(from);
+            self.differing_peer = Some(from);
         }
-        self.handle(at, packet.body, &packet.news, packet.incarnation);
+        self.handle_body(peer, packet.body, &packet.entries, packet.incarnation);
     }
 
-    /// The sender's index and the packet, or why the datagram is dropped.
+    /// Decodes and checks a datagram. Returns the sender's index and the packet, or why it is dropped.
     fn accept(&mut self, from: u16, bytes: &[u8]) -> Result<(usize, Packet), DropReason> {
-        let at = self.view.index_of(from).filter(|at| *at != self.at).ok_or(DropReason::UnknownSender)?;
+        let peer = self
+            .view
+            .index_of(from)
+            .filter(|peer| *peer != self.own_index)
+            .ok_or(DropReason::UnknownSender)?;
         let packet = Packet::decode(bytes).map_err(|error| match error {
-            Unreadable::Damaged => DropReason::Damaged,
-            Unreadable::Version => DropReason::VersionMismatch,
+            DecodeError::Damaged => DropReason::Damaged,
+            DecodeError::UnknownVersion => DropReason::VersionMismatch,
         })?;
-        // Senders are believed by their address: in another's name nobody speaks.
+        // The address identifies the sender; the number in the packet must be the same.
         if packet.from != from {
             return Err(DropReason::UnknownSender);
         }
-        if packet.roster != self.roster {
+        if packet.roster_hash != self.roster_hash {
             return Err(DropReason::RosterMismatch);
         }
-        // Only what can be read is charged to its sender: noise in a member's name must not crowd out its true mail.
-        if !self.admits(at) {
+        // Only valid datagrams use up the sender's budget: garbage with a member's address as its source must not
+        // displace the member's own datagrams.
+        if !self.admit_datagram(peer) {
             return Err(DropReason::RateLimited);
         }
-        Ok((at, packet))
+        Ok((peer, packet))
     }
 
-    /// Acts on what a datagram asks for or answers.
-    fn handle(&mut self, at: usize, body: Body, news: &[Entry], base: u64) {
+    /// Handles the body; `base` is the sender's incarnation.
+    fn handle_body(&mut self, peer: usize, body: Body, entries: &[Entry], base: u64) {
         match body {
-            Body::Ping(seq) => self.send(at, Body::Ack(seq), true),
-            Body::PingFor { number, seq } => self.relay_ping(at, number, seq),
-            Body::Ack(seq) => self.acknowledged(at, seq),
-            Body::Nack(seq) => self.not_acknowledged(seq),
+            Body::Ping(seq) => self.send(peer, Body::Ack(seq), true),
+            Body::PingRequest { number, seq } => self.relay_ping(peer, number, seq),
+            Body::Ack(seq) => self.handle_ack(peer, seq),
+            Body::Nack(seq) => self.handle_nack(seq),
             Body::Gossip => {}
-            Body::Compare { from, span, parts } => self.handle_compare(at, from, span, &parts),
-            Body::Tell { from, span, back: true } => self.tell_newer(at, from, span, news, base),
-            Body::Tell { .. } => {}
+            Body::CompareDigests { first, span, digests } => self.handle_compare(peer, first, span, &digests),
+            Body::Entries { first, span, reply_wanted: true } => {
+                self.reply_with_newer(peer, first, span, entries, base)
+            }
+            Body::Entries { .. } => {}
         }
     }
 
-    pub(super) fn count_dropped(&mut self, why: DropReason) {
-        self.counts.dropped[why as usize] += 1;
+    pub(super) fn count_dropped(&mut self, reason: DropReason) {
+        self.counts.dropped[reason as usize] += 1;
     }
 
-    /// Whether a datagram of this member is taken: so many a second of all, and of each a fourth of them.
-    fn admits(&mut self, at: usize) -> bool {
-        let gap = (self.now - self.taken_at) / 1_000.0;
-        self.taken = (self.taken + gap * self.max_received_per_s).min(self.max_received_per_s);
-        self.taken_at = self.now;
-        let (now, each) = (self.now, (self.max_received_per_s / 4.0).max(10.0));
-        let member = self.view.contact(at);
-        let gap = ((now - member.mail_at) / 1_000.0).min(1.0);
-        member.mail = (f64::from(member.mail) + gap * each).min(each) as f32;
-        member.mail_at = now;
-        // Else one that floods would use up what all others need.
-        if member.mail < 1.0 || self.taken < 1.0 {
+    /// Charges a datagram to the receive budgets, the total and the sender's, which is a fourth of the total. Returns
+    /// whether both suffice: without the second, one sender's flood would use up the budget of all others.
+    fn admit_datagram(&mut self, peer: usize) -> bool {
+        let elapsed_s = (self.now_ms - self.receive_budget_at_ms) / 1_000.0;
+        self.receive_budget =
+            (self.receive_budget + elapsed_s * self.max_received_per_s).min(self.max_received_per_s);
+        self.receive_budget_at_ms = self.now_ms;
+        let (now_ms, member_rate_per_s) = (self.now_ms, (self.max_received_per_s / 4.0).max(10.0));
+        let member = self.view.member_mut(peer);
+        let elapsed_s = ((now_ms - member.receive_budget_at_ms) / 1_000.0).min(1.0);
+        member.receive_budget =
+            (f64::from(member.receive_budget) + elapsed_s * member_rate_per_s).min(member_rate_per_s) as f32;
+        member.receive_budget_at_ms = now_ms;
+        if member.receive_budget < 1.0 || self.receive_budget < 1.0 {
             return false;
         }
-        member.mail -= 1.0;
-        self.taken -= 1.0;
+        member.receive_budget -= 1.0;
+        self.receive_budget -= 1.0;
         true
     }
 
-    pub(super) fn send(&mut self, at: usize, body: Body, urgent: bool) {
-        self.send_with(at, body, None, urgent);
+    pub(super) fn send(&mut self, peer: usize, body: Body, urgent: bool) {
+        self.send_with(peer, body, None, urgent);
     }
 
-    pub(super) fn send_of(&mut self, at: usize, body: Body, members: &[usize], urgent: bool) {
-        self.send_with(at, body, Some(members), urgent);
+    pub(super) fn send_entries(&mut self, peer: usize, body: Body, members: &[usize], urgent: bool) {
+        self.send_with(peer, body, Some(members), urgent);
     }
 
-    /// Sends a datagram if there is room for one: urgent ones may use up what a second brings beforehand.
-    fn send_with(&mut self, at: usize, body: Body, members: Option<&[usize]>, urgent: bool) {
-        if self.yielded || at == self.at {
+    /// Sends a datagram if the send budget allows it; urgent ones may overdraw it. `members` selects the entries, with
+    /// `None` they come from the gossip queue, and votes are attached.
+    fn send_with(&mut self, peer: usize, body: Body, members: Option<&[usize]>, urgent: bool) {
+        if self.yielded || peer == self.own_index {
             return;
         }
-        if self.budget < self.least_budget(&body, urgent) {
+        if self.send_budget < self.min_budget(&body, urgent) {
             self.counts.rate_limited += 1;
             return;
         }
-        let mut packet = self.packet(body);
-        // Votes and grants take a third of a datagram in a fleet of hundreds: with much to tell, one in three has them.
-        let votes = self.has_little_news() || self.counts.sent.is_multiple_of(3);
-        if members.is_none() && votes {
+        let mut packet = self.packet_with(body);
+        // Votes and grants take a third of a datagram in a fleet of hundreds: with a long gossip queue only every third
+        // datagram has them.
+        let with_votes = self.gossip_queue_is_short() || self.counts.sent.is_multiple_of(3);
+        if members.is_none() && with_votes {
             self.attach_votes(&mut packet);
         }
         let room = packet.room();
-        packet.news = match members {
-            None => self.pick_news(at, room),
-            Some(members) => self.entries_of(members, room),
+        packet.entries = match members {
+            None => self.select_gossip(peer, room),
+            Some(members) => self.entries_for(members, room),
         };
         let Some(bytes) = packet.encode() else { return };
-        self.budget -= 1.0;
+        self.send_budget -= 1.0;
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        self.out.push_back((self.view.roster_entry(at).number, bytes));
+        self.outgoing.push_back((self.view.roster_entry(peer).number, bytes));
     }
 
-    /// The budget below which such a datagram is held back.
-    fn least_budget(&self, body: &Body, urgent: bool) -> f64 {
-        // An answer that is not sent passes for a death: answers may use up what the next second brings, pings half.
-        let answer = matches!(body, Body::Ack(_) | Body::Nack(_));
-        if answer {
-            1.0 - self.rate
+    /// The budget below which such a datagram is not sent. Negative values overdraw what the next second adds.
+    fn min_budget(&self, body: &Body, urgent: bool) -> f64 {
+        // A missing answer looks like a crash: answers may overdraw a whole second of the send rate, pings half of one.
+        let is_answer = matches!(body, Body::Ack(_) | Body::Nack(_));
+        if is_answer {
+            1.0 - self.send_rate_per_s
         } else if urgent {
-            -0.5 * self.rate
+            -0.5 * self.send_rate_per_s
         } else {
             1.0
         }
     }
 
-    /// A packet of this gateway without votes and news.
-    fn packet(&self, body: Body) -> Packet {
+    /// A packet of this gateway without votes and entries.
+    fn packet_with(&self, body: Body) -> Packet {
         Packet {
-            from: self.me,
-            roster: self.roster,
+            from: self.own_number,
+            roster_hash: self.roster_hash,
             incarnation: self.incarnation,
             epoch: self.epoch,
             leaving: self.leaving,
@@ -161,7 +172,7 @@
             body,
             ballot: None,
             grant: None,
-            news: Vec::new(),
+            entries: Vec::new(),
         }
     }
 }
--- a/crates/fleet/src/machine/gossip.rs
+++ b/crates/fleet/src/machine/gossip.rs
@@ -1,107 +1,110 @@
-//! News of members, spread to members drawn at random until each item was told often enough.
+//! Gossip of member changes: each is sent to random members until it reaches the retransmit limit.
 
-use super::parameters::GOSSIP_MS;
+use super::parameters::GOSSIP_INTERVAL_MS;
 use super::Membership;
 use crate::view::{MemberState, View};
 use crate::wire::{Body, Entry};
 
-/// Receivers of one round of news.
-const FANOUT: usize = 2;
+/// Receivers of one round of gossip.
+const GOSSIP_FANOUT: usize = 2;
 
 impl Membership {
-    pub(super) fn spread(&mut self, at: usize) {
-        self.spread_as(at, false);
+    pub(super) fn enqueue_gossip(&mut self, index: usize) {
+        self.enqueue_gossip_with(index, false);
     }
 
-    pub(super) fn spread_as(&mut self, at: usize, taken_back: bool) {
-        self.forget_news(at);
-        if self.view.len() < 2 || (self.yielded && at == self.at) {
+    /// Queues a member's state for gossip; `refuted` gives it the highest priority.
+    pub(super) fn enqueue_gossip_with(&mut self, index: usize, refuted: bool) {
+        self.dequeue_gossip(index);
+        if self.view.len() < 2 || (self.yielded && index == self.own_index) {
             return;
         }
-        let class = match self.view.member(at).state {
-            // What is taken back must outrun what it takes back.
-            _ if at == self.at || taken_back => 0,
+        let priority = match self.view.member(index).state {
+            // A refutation must spread faster than the claim that it refutes.
+            _ if index == self.own_index || refuted => 0,
             MemberState::Suspect | MemberState::Leaving => 1,
             MemberState::Gone => 2,
             MemberState::Alive | MemberState::Unknown => 3,
         };
-        self.news.insert((class, 0, at));
-        self.news_of.insert(at, (class, 0));
+        self.gossip_queue.insert((priority, 0, index));
+        self.gossip_keys.insert(index, (priority, 0));
     }
 
-    pub(super) fn forget_news(&mut self, at: usize) {
-        if let Some((class, told)) = self.news_of.remove(&at) {
-            self.news.remove(&(class, told, at));
+    pub(super) fn dequeue_gossip(&mut self, index: usize) {
+        if let Some((priority, transmissions)) = self.gossip_keys.remove(&index) {
+            self.gossip_queue.remove(&(priority, transmissions, index));
         }
     }
 
     pub(super) fn run_gossip(&mut self) {
         if self.yielded
-            || self.now < self.gossip_at + GOSSIP_MS
-            || (self.news.is_empty() && !self.has_votes_to_tell())
+            || self.now_ms < self.last_gossip_ms + GOSSIP_INTERVAL_MS
+            || (self.gossip_queue.is_empty() && !self.has_votes_to_send())
         {
             return;
         }
-        self.gossip_at = self.now;
-        for _ in 0..FANOUT {
-            // What stands by for pings and answers is not spent on news.
-            if self.budget < 0.1 * self.rate {
+        self.last_gossip_ms = self.now_ms;
+        for _ in 0..GOSSIP_FANOUT {
+            // Gossip does not use the budget that is reserved for pings and answers.
+            if self.send_budget < 0.1 * self.send_rate_per_s {
                 self.counts.rate_limited += 1;
                 return;
             }
-            if let Some(at) =
+            if let Some(index) =
                 self.random_member(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
             {
-                self.send(at, Body::Gossip, false);
+                self.send(index, Body::Gossip, false);
             }
         }
     }
 
-    /// Entries for a datagram: of the receiver if it is accused, then news, the least told first, up to `room` bytes.
-    pub(super) fn pick_news(&mut self, to: usize, mut room: usize) -> Vec<Entry> {
+    /// The entries for a datagram of up to `room` bytes: first the receiver's own if it is not held to be alive, then
+    /// the queue by priority, and by the fewest transmissions within it. Counts the transmissions.
+    pub(super) fn select_gossip(&mut self, to: usize, mut room: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         let base = self.incarnation;
-        let entry = |view: &View, at: usize| {
-            let member = view.member(at);
+        let entry = |view: &View, index: usize| {
+            let member = view.member(index);
             let claim = member.claim()?;
-            Some(Entry::new(view.roster_entry(at).number, claim, member.incarnation, member.epoch, base))
+            Some(Entry::new(view.roster_entry(index).number, claim, member.incarnation, member.epoch, base))
         };
-        let accused = !matches!(self.view.member(to).state, MemberState::Alive | MemberState::Unknown);
-        if let Some(accusation) = entry(&self.view, to).filter(|_| accused) {
+        let receiver_accused =
+            !matches!(self.view.member(to).state, MemberState::Alive | MemberState::Unknown);
+        if let Some(accusation) = entry(&self.view, to).filter(|_| receiver_accused) {
             room = room.saturating_sub(accusation.byte_len());
             entries.push(accusation);
         }
-        let mut told = Vec::new();
-        for (class, times, at) in &self.news {
-            // It knows best itself. Counted as told all the same: between two that live, news of each other would else
-            // stay news for ever, and use up all that may be sent.
-            if *at == to {
-                told.push((*class, *times, *at));
+        let mut transmitted = Vec::new();
+        for (priority, transmissions, index) in &self.gossip_queue {
+            // The receiver knows its own state, so its entry is not sent but counts as transmitted: otherwise, with only
+            // two members alive, their entries about each other would stay queued for ever and use up the send budget.
+            if *index == to {
+                transmitted.push((*priority, *transmissions, *index));
                 continue;
             }
-            let Some(found) = entry(&self.view, *at) else { continue };
-            let bytes = found.byte_len();
+            let Some(selected) = entry(&self.view, *index) else { continue };
+            let bytes = selected.byte_len();
             if bytes > room {
                 break;
             }
             room -= bytes;
-            entries.push(found);
-            told.push((*class, *times, *at));
+            entries.push(selected);
+            transmitted.push((*priority, *transmissions, *index));
         }
-        for (class, times, at) in told {
-            self.news.remove(&(class, times, at));
-            if times + 1 < self.retell {
-                self.news.insert((class, times + 1, at));
-                self.news_of.insert(at, (class, times + 1));
+        for (priority, transmissions, index) in transmitted {
+            self.gossip_queue.remove(&(priority, transmissions, index));
+            if transmissions + 1 < self.retransmit_limit {
+                self.gossip_queue.insert((priority, transmissions + 1, index));
+                self.gossip_keys.insert(index, (priority, transmissions + 1));
             } else {
-                self.news_of.remove(&at);
+                self.gossip_keys.remove(&index);
             }
         }
         entries
     }
 
-    /// Entries of these members, up to `room` bytes.
-    pub(super) fn entries_of(&self, members: &[usize], mut room: usize) -> Vec<Entry> {
+    /// The entries of these members, up to `room` bytes.
+    pub(super) fn entries_for(&self, members: &[usize], mut room: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         for index in members {
             let member = self.view.member(*index);
--- a/crates/fleet/src/machine/mod.rs
+++ b/crates/fleet/src/machine/mod.rs
@@ -1,20 +1,20 @@
-//! The membership machine of one gateway. It is told the time, and datagrams with their senders; it yields datagrams
-//! with their receivers, and changes of its view with their causes.
+//! The membership machine of one gateway. Inputs are the time, and received datagrams with their senders; outputs are
+//! datagrams with their receivers, and changes of the view with their causes.
 //!
-//! Probing goes by turns on the common clock: in a slot each gateway pings the one that stands so many places behind
-//! it in the roster, the same distance for all, another one each slot. So each is pinged once a slot, not by chance
-//! none or five times, and every pair meets in time. A gateway whose clock is off only meets others in another order.
-
+//! Probe targets rotate by the common clock: in each slot every gateway pings the live member at the same distance
+//! behind it in the roster, and the distance changes from slot to slot. So each member is pinged once per slot, not
+//! zero or five times by chance, and over time every pair communicates. A gateway with a wrong clock only has another
+//! order of targets.
 //!
-//! - `probe`: pings, and helpers that ping in a gateway's place
-//! - `suspicion`: from no answer to a member that is gone
-//! - `claims`: what others say of a member, and of this gateway
-//! - `gossip`: spreading news
+//! - `probe`: direct pings, and indirect ones through helpers
+//! - `suspicion`: from a failed probe to a member that is gone
+//! - `claims`: reports about a member, or about this gateway
+//! - `gossip`: dissemination of member changes
 //! - `anti_entropy`: repair of views that differ
-//! - `grants`: votes and grants of shares
+//! - `grants`: votes and grants for shares
 //! - `datagrams`: receiving, answering, sending
 //! - `change`, `counts`, `config`: the types of the machine's interface
-//! - `pending`, `parameters`: what it waits for, and figures of the protocol
+//! - `pending`, `parameters`: open probes and suspicions, and parameters of the protocol
 
 mod anti_entropy;
 mod change;
@@ -36,237 +36,262 @@
 use crate::share::{Shares, PERIOD_MS};
 use crate::view::{LiveEstimate, Member, MemberState, RosterEntry, View};
 use crate::wire::Body;
-use parameters::{mix, GOSSIP_MS, HEALTH_MOST, HELPERS, MARK_BITS, SINCE_MS};
+use parameters::{
+    hash, GOSSIP_INTERVAL_MS, INCARNATION_EPOCH_MS, MAX_LOCAL_HEALTH, PROBE_FANOUT, PROCESS_MARK_BITS,
+};
 use pending::{Probe, Relay, Suspicion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Length of a slot, ms, where enough datagrams may be sent; fewer make it longer.
+/// Length of a slot, ms, at a send rate of at least [`FULL_SEND_RATE_PER_S`]; lower rates lengthen it.
 const SLOT_MS: f64 = 500.0;
-/// Datagrams a second that a gateway sends at most, as a part of what one takes in, and bounds of that: what all
-/// send comes in evenly, and the rest is room for chance and for datagrams that others add.
-const MAIL_PART: f64 = 0.18;
-const MAIL_LEAST: f64 = 4.0;
-const MAIL_MOST: f64 = 16.0;
-/// News are told this many times the logarithm (base ten) of the roster.
-const RETELL: f64 = 4.0;
-/// No tick for so many slots: this process hung, and what it waited for says nothing.
+const FULL_SEND_RATE_PER_S: f64 = 10.0;
+/// A gateway's send rate, as a fraction of the rate that a gateway accepts, with bounds in datagrams per second. The
+/// targets are evenly distributed, so each gateway receives about as much as it sends; the rest of the accepted rate
+/// leaves room for random peaks and for datagrams that others add.
+const SEND_FRACTION: f64 = 0.18;
+const MIN_SEND_RATE_PER_S: f64 = 4.0;
+const MAX_SEND_RATE_PER_S: f64 = 16.0;
+/// Gossip is retransmitted this many times the decimal logarithm of the roster size.
+const RETRANSMIT_FACTOR: f64 = 4.0;
+/// Slots without a tick after which this process is considered to have hung: missing answers then prove nothing.
 const HANG_SLOTS: f64 = 1.5;
+/// Local health from which the failure of this gateway's probes may be its own fault.
+const UNRELIABLE_LOCAL_HEALTH: u32 = 3;
+/// A member counts as certainly alive if a datagram arrived from it within this many slots.
+const RECENT_SLOTS: f64 = 4.0;
 
 /// The membership machine of one gateway.
 #[derive(Debug)]
 pub struct Membership {
-    me: u16,
-    at: usize,
-    roster: u16,
+    own_number: u16,
+    own_index: usize,
+    roster_hash: u16,
     view: View,
     rng: fastrand::Rng,
     slot_ms: f64,
+    /// Offset of this gateway's slots, so that not all gateways ping at the same moment.
     phase_ms: f64,
-    rate: f64,
+    send_rate_per_s: f64,
     max_received_per_s: f64,
-    retell: u32,
+    retransmit_limit: u32,
     epoch: u32,
     incarnation: u64,
     leaving: bool,
-    rival_claims: u32,
+    /// Claims of a higher incarnation of this gateway's number.
+    duplicate_claims: u32,
+    /// Another process keeps this gateway's number, and this one sends nothing.
     yielded: bool,
-    started: f64,
-    now: f64,
-    /// When anybody was last heard, ms.
-    heard: f64,
-    ticked: f64,
+    started_ms: f64,
+    now_ms: f64,
+    /// When the last valid datagram arrived from any member.
+    last_received_ms: f64,
+    last_tick_ms: f64,
     slot: i64,
-    pinged: usize,
-    seq: u16,
+    pings_in_slot: usize,
+    last_seq: u16,
     probes: Vec<Probe>,
     relays: Vec<Relay>,
     suspicions: BTreeMap<usize, Suspicion>,
-    health: u32,
-    /// News by importance, times told, and member.
-    news: BTreeSet<(u8, u32, usize)>,
-    news_of: BTreeMap<usize, (u8, u32)>,
-    gossip_at: f64,
-    differs: Option<u16>,
-    budget: f64,
-    budget_at: f64,
-    taken: f64,
-    taken_at: f64,
+    local_health: u32,
+    /// Members whose state is to be sent, ordered by priority and transmissions.
+    gossip_queue: BTreeSet<(u8, u32, usize)>,
+    /// Priority and transmissions by member: the rest of its key in the queue.
+    gossip_keys: BTreeMap<usize, (u8, u32)>,
+    last_gossip_ms: f64,
+    /// Number of the last member whose datagram had another view digest.
+    differing_peer: Option<u16>,
+    send_budget: f64,
+    send_budget_at_ms: f64,
+    receive_budget: f64,
+    receive_budget_at_ms: f64,
     shares: Shares,
     period: u32,
-    vote_told: u32,
-    grant_told: u32,
-    out: VecDeque<(u16, Vec<u8>)>,
+    ballot_transmissions: u32,
+    grant_transmissions: u32,
+    outgoing: VecDeque<(u16, Vec<u8>)>,
     changes: VecDeque<Change>,
     counts: Counts,
 }
 
-fn period(now: f64) -> u32 {
-    (now / PERIOD_MS).clamp(0.0, f64::from(u32::MAX - 2)) as u32
+/// The period of the share rule at this time.
+fn period_at(now_ms: f64) -> u32 {
+    (now_ms / PERIOD_MS).clamp(0.0, f64::from(u32::MAX - 2)) as u32
 }
 
 impl Membership {
-    /// A gateway that knows its roster and nobody in it.
+    /// A gateway that knows its roster; all other members are unknown.
     ///
     /// # Errors
-    /// The roster is empty, names a number twice, or this gateway is not in it.
-    pub fn new(config: Config, now: f64) -> Result<Membership, InvalidRoster> {
-        let Config { own_number: me, mut roster, max_received_per_s, epoch, seed } = config;
-        roster.sort_by_key(|place| place.number);
+    /// The roster has a number twice, or lacks this gateway.
+    pub fn new(config: Config, now_ms: f64) -> Result<Membership, InvalidRoster> {
+        let Config { own_number, mut roster, max_received_per_s, epoch, seed } = config;
+        roster.sort_by_key(|entry| entry.number);
         if let Some(pair) = roster.windows(2).find(|pair| pair[0].number == pair[1].number) {
             return Err(InvalidRoster(format!(
-                "number {} stands twice: each is wanted once",
+                "number {} stands twice: expected each number once",
                 pair[0].number
             )));
         }
-        Membership::with_shared_roster(me, roster.into(), max_received_per_s, epoch, seed, now)
+        Membership::with_shared_roster(own_number, roster.into(), max_received_per_s, epoch, seed, now_ms)
     }
 
-    /// The same over a roster that is sorted by number and shared, for many machines in one process.
+    /// The same with a shared roster that is sorted by number, for many machines in one process.
     ///
     /// # Errors
-    /// This gateway is not in it.
+    /// The roster lacks this gateway.
     pub fn with_shared_roster(
-        me: u16,
+        own_number: u16,
         roster: Arc<[RosterEntry]>,
         max_received_per_s: f64,
         epoch: u32,
         seed: u64,
-        now: f64,
+        now_ms: f64,
     ) -> Result<Membership, InvalidRoster> {
-        let (size, most) = (roster.len(), roster.last().map_or(0, |place| place.number));
-        // Numbers alone: addresses may differ between gateways, and names and zones decide nothing.
-        let numbers = roster.iter().fold(size as u64, |print, place| mix(print ^ u64::from(place.number)));
-        let print = numbers as u16;
-        let view = View::new(roster, now);
-        let at = view.index_of(me).ok_or_else(|| {
-            InvalidRoster(format!("number {me} is not in the roster: this gateway's own is wanted"))
+        let (size, max_number) = (roster.len(), roster.last().map_or(0, |entry| entry.number));
+        // Only the numbers: addresses may differ between gateways, and the protocol does not use names and zones.
+        let roster_hash = roster.iter().fold(size as u64, |sum, entry| hash(sum ^ u64::from(entry.number)));
+        let view = View::new(roster, now_ms);
+        let own_index = view.index_of(own_number).ok_or_else(|| {
+            InvalidRoster(format!(
+                "number {own_number} is not in the roster: expected this gateway's own number"
+            ))
         })?;
-        let rate = (max_received_per_s * MAIL_PART).clamp(MAIL_LEAST, MAIL_MOST);
+        let send_rate_per_s =
+            (max_received_per_s * SEND_FRACTION).clamp(MIN_SEND_RATE_PER_S, MAX_SEND_RATE_PER_S);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let units = ((now - SINCE_MS) / 100.0).max(1.0) as u64;
-        let incarnation = (units << MARK_BITS) | rng.u64(1..1 << MARK_BITS);
-        let slot_ms = SLOT_MS * (10.0 / rate).max(1.0);
-        let phase_ms = (mix(u64::from(me)) % 1_000) as f64 / 1_000.0 * slot_ms;
-        let shares = Shares::new(me, size, most, period(now));
-        let mut fleet = Membership {
-            me,
-            at,
-            roster: print,
+        let start_tenths = ((now_ms - INCARNATION_EPOCH_MS) / 100.0).max(1.0) as u64;
+        let incarnation = (start_tenths << PROCESS_MARK_BITS) | rng.u64(1..1 << PROCESS_MARK_BITS);
+        let slot_ms = SLOT_MS * (FULL_SEND_RATE_PER_S / send_rate_per_s).max(1.0);
+        let phase_ms = (hash(u64::from(own_number)) % 1_000) as f64 / 1_000.0 * slot_ms;
+        let shares = Shares::new(own_number, size, max_number, period_at(now_ms));
+        let mut membership = Membership {
+            own_number,
+            own_index,
+            roster_hash: roster_hash as u16,
             view,
             rng,
             slot_ms,
             phase_ms,
-            rate,
+            send_rate_per_s,
             max_received_per_s: max_received_per_s.max(1.0),
-            retell: (RETELL * ((size + 1) as f64).log10()).ceil() as u32 + 1,
+            retransmit_limit: (RETRANSMIT_FACTOR * ((size + 1) as f64).log10()).ceil() as u32 + 1,
             epoch,
             incarnation,
             leaving: false,
-            rival_claims: 0,
+            duplicate_claims: 0,
             yielded: false,
-            started: now,
-            now,
-            heard: now,
-            ticked: now,
-            slot: ((now + phase_ms) / slot_ms).floor() as i64,
-            pinged: 0,
-            seq: 0,
+            started_ms: now_ms,
+            now_ms,
+            last_received_ms: now_ms,
+            last_tick_ms: now_ms,
+            slot: ((now_ms + phase_ms) / slot_ms).floor() as i64,
+            pings_in_slot: 0,
+            last_seq: 0,
             probes: Vec::new(),
             relays: Vec::new(),
             suspicions: BTreeMap::new(),
-            health: 0,
-            news: BTreeSet::new(),
-            news_of: BTreeMap::new(),
-            gossip_at: now,
-            differs: None,
-            budget: rate,
-            budget_at: now,
-            taken: 0.0,
-            taken_at: now,
+            local_health: 0,
+            gossip_queue: BTreeSet::new(),
+            gossip_keys: BTreeMap::new(),
+            last_gossip_ms: now_ms,
+            differing_peer: None,
+            send_budget: send_rate_per_s,
+            send_budget_at_ms: now_ms,
+            receive_budget: 0.0,
+            receive_budget_at_ms: now_ms,
             shares,
-            period: period(now),
-            vote_told: 0,
-            grant_told: 0,
-            out: VecDeque::new(),
+            period: period_at(now_ms),
+            ballot_transmissions: 0,
+            grant_transmissions: 0,
+            outgoing: VecDeque::new(),
             changes: VecDeque::new(),
             counts: Counts::default(),
         };
-        fleet.announce_self(MemberState::Alive, Cause::LocalEvent);
-        // Whoever answers tells that it lives, and by its digest that there is more to know.
-        for _ in 0..HELPERS {
-            fleet.ask_silent();
+        membership.announce_self(MemberState::Alive, Cause::LocalEvent);
+        // An answer shows that the member is alive, and its digest that there are differences to repair.
+        for _ in 0..PROBE_FANOUT {
+            membership.ping_unreachable();
         }
-        Ok(fleet)
+        Ok(membership)
     }
 
-    // ---- What is known ----
+    // ---- State ----
 
-    /// The members.
+    /// The members as this gateway sees them.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// This gateway's number.
+    /// The number from the configuration, which identifies this gateway in the roster.
     pub fn own_number(&self) -> u16 {
-        self.me
+        self.own_number
     }
 
-    /// How long the view has not changed, ms.
+    /// Time since the last change of the view.
     pub fn unchanged_ms(&self) -> f64 {
-        (self.now - self.view.last_change_ms()).max(0.0)
+        (self.now_ms - self.view.last_change_ms()).max(0.0)
     }
 
-    /// How many gateways live, this one among them.
+    /// Estimates the number of live gateways, this one included.
     pub fn live_estimate(&self) -> LiveEstimate {
         let alive = self.view.count(MemberState::Alive);
         let suspect = self.view.count(MemberState::Suspect);
         let left = self.view.count(MemberState::Leaving);
-        // Whose own probes fail can't tell the others' silence from its own: only what it hears itself is sure.
-        let near = |member: &Member| member.last_received_ms > self.now - 4.0 * self.slot_ms;
-        let heard = self.view.members().filter(|(place, member)| place.number != self.me && near(member));
-        let least = if self.health >= 3 { heard.count() + usize::from(!self.leaving) } else { alive };
-        LiveEstimate { min: least.min(alive), likely: alive + suspect, max: self.view.len() - left }
+        // A gateway whose probes fail cannot tell whether the fault is its own: then only members that it received
+        // datagrams from are certainly alive.
+        let is_recent = |member: &Member| member.last_received_ms > self.now_ms - RECENT_SLOTS * self.slot_ms;
+        let recent_members = self
+            .view
+            .members()
+            .filter(|(entry, member)| entry.number != self.own_number && is_recent(member));
+        let min = if self.local_health >= UNRELIABLE_LOCAL_HEALTH {
+            recent_members.count() + usize::from(!self.leaving)
+        } else {
+            alive
+        };
+        LiveEstimate { min: min.min(alive), likely: alive + suspect, max: self.view.len() - left }
     }
 
-    /// Somebody is suspected, never heard of, or gone without a word, or this gateway doubts itself.
+    /// Whether a member is suspect, unknown, or gone without having announced its leave, or this gateway's own probes
+    /// are unreliable, or it yielded its number.
     pub fn is_uncertain(&self) -> bool {
-        let doubt = self.live_estimate();
-        self.yielded || doubt.min < doubt.max
+        let estimate = self.live_estimate();
+        self.yielded || estimate.min < estimate.max
     }
 
-    /// The part of a whole, above 0 to 1, that this gateway may use at `now`: over all gateways no more than 1.
-    /// Ask anew for each use: a process that was stopped must look at the clock first.
-    pub fn share(&self, now: f64) -> f64 {
+    /// The share of the whole that this gateway may use at `now_ms`: at most 1 over all gateways, and 0 only after it
+    /// yielded its number. Call it for each use, since after a pause of the process the share may have expired.
+    pub fn share(&self, now_ms: f64) -> f64 {
         if self.yielded {
             return 0.0;
         }
-        self.shares.share(period(now))
+        self.shares.share(period_at(now_ms))
     }
 
-    /// Into how many parts the pool is split now of which this gateway uses one; `None`: it uses none.
-    pub fn pool_divisor(&self, now: f64) -> Option<u16> {
-        self.shares.pool_divisor(period(now)).filter(|_| !self.yielded)
+    /// The number of parts into which the pool is divided if this gateway may use one of them, else `None`.
+    pub fn pool_divisor(&self, now_ms: f64) -> Option<u16> {
+        self.shares.pool_divisor(period_at(now_ms)).filter(|_| !self.yielded)
     }
 
-    /// Another process holds this gateway's number, and this one says nothing of itself.
+    /// Whether another process keeps this gateway's number, so that this one sends nothing.
     pub fn has_yielded(&self) -> bool {
         self.yielded
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Lifeguard's local health: 0, all is well, to 8.
+    /// Lifeguard's local health, from 0 (healthy) to 8.
     pub fn local_health(&self) -> u32 {
-        self.health
+        self.local_health
     }
 
     /// The next datagram to send, with its receiver's number.
     pub fn next_datagram(&mut self) -> Option<(u16, Vec<u8>)> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
     /// The next change of the view.
@@ -274,33 +299,33 @@
         self.changes.pop_front()
     }
 
-    // ---- What the embedding program tells ----
+    // ---- Inputs of the embedding program ----
 
-    /// This gateway leaves: it is told at once, and nobody will suspect it.
-    pub fn leave(&mut self, now: f64) {
-        self.advance(now);
+    /// Announces at once that this gateway leaves, so that no member will suspect it.
+    pub fn leave(&mut self, now_ms: f64) {
+        self.advance(now_ms);
         if !std::mem::replace(&mut self.leaving, true) && !self.yielded {
             self.announce_self(MemberState::Leaving, Cause::LocalEvent);
-            for _ in 0..HELPERS {
-                if let Some(at) = self.random_member(|member| member.state == MemberState::Alive) {
-                    self.send(at, Body::Gossip, true);
+            for _ in 0..PROBE_FANOUT {
+                if let Some(peer) = self.random_member(|member| member.state == MemberState::Alive) {
+                    self.send(peer, Body::Gossip, true);
                 }
             }
         }
     }
 
-    /// It does not leave after all.
-    pub fn cancel_leave(&mut self, now: f64) {
-        self.advance(now);
+    /// Announces that this gateway stays.
+    pub fn cancel_leave(&mut self, now_ms: f64) {
+        self.advance(now_ms);
         if std::mem::take(&mut self.leaving) && !self.yielded {
             self.raise_incarnation(self.incarnation);
             self.announce_self(MemberState::Alive, Cause::LocalEvent);
         }
     }
 
-    /// Its configuration has another epoch.
-    pub fn set_epoch(&mut self, now: f64, epoch: u32) {
-        self.advance(now);
+    /// Announces another epoch of this gateway's configuration.
+    pub fn set_epoch(&mut self, now_ms: f64, epoch: u32) {
+        self.advance(now_ms);
         if std::mem::replace(&mut self.epoch, epoch) != epoch && !self.yielded {
             self.raise_incarnation(self.incarnation);
             let state = if self.leaving { MemberState::Leaving } else { MemberState::Alive };
@@ -308,33 +333,33 @@
         }
     }
 
-    /// A datagram from nobody's address: counted and dropped.
+    /// Counts a datagram from an address that is not in the roster.
     pub fn count_unknown_sender(&mut self) {
         self.count_dropped(DropReason::UnknownSender);
     }
 
-    /// When [`Membership::tick`] is due, ms.
+    /// When [`Membership::tick`] is due.
     pub fn next_tick(&self) -> f64 {
         let mut due = (self.slot + 1) as f64 * self.slot_ms - self.phase_ms;
         for probe in &self.probes {
-            due = due.min(probe.sent + self.patience(probe.asked_helpers));
+            due = due.min(probe.sent_ms + self.probe_timeout_ms(probe.asked_helpers));
         }
         for relay in &self.relays {
-            due = due.min(relay.until);
+            due = due.min(relay.until_ms);
         }
         for suspicion in self.suspicions.values() {
-            due = due.min(self.suspicion_ends(suspicion));
+            due = due.min(self.suspicion_ends_ms(suspicion));
         }
-        if !self.news.is_empty() || self.has_votes_to_tell() {
-            due = due.min(self.gossip_at + GOSSIP_MS);
+        if !self.gossip_queue.is_empty() || self.has_votes_to_send() {
+            due = due.min(self.last_gossip_ms + GOSSIP_INTERVAL_MS);
         }
-        due.max(self.ticked + 1.0)
+        due.max(self.last_tick_ms + 1.0)
     }
 
-    /// Lets time pass.
-    pub fn tick(&mut self, now: f64) {
-        self.advance(now);
-        self.ticked = self.now;
+    /// Runs everything that is due.
+    pub fn tick(&mut self, now_ms: f64) {
+        self.advance(now_ms);
+        self.last_tick_ms = self.now_ms;
         self.run_probes();
         self.run_slot();
         self.run_suspicions();
@@ -342,33 +367,34 @@
         self.run_gossip();
     }
 
-    fn advance(&mut self, now: f64) {
-        self.now = now.max(self.now);
-        let silence = self.now - self.ticked;
-        if silence > HANG_SLOTS * self.slot_ms {
-            self.resume_after_hang(silence);
-            self.ticked = self.now;
+    /// Sets the clock, refills the send budget, and detects a hang and a new period.
+    fn advance(&mut self, now_ms: f64) {
+        self.now_ms = now_ms.max(self.now_ms);
+        let gap_ms = self.now_ms - self.last_tick_ms;
+        if gap_ms > HANG_SLOTS * self.slot_ms {
+            self.resume_after_hang(gap_ms);
+            self.last_tick_ms = self.now_ms;
         }
-        let gap = (self.now - self.budget_at) / 1_000.0;
-        self.budget = (self.budget + gap * self.rate).min(self.rate);
-        self.budget_at = self.now;
-        let period = period(self.now);
+        let elapsed_s = (self.now_ms - self.send_budget_at_ms) / 1_000.0;
+        self.send_budget = (self.send_budget + elapsed_s * self.send_rate_per_s).min(self.send_rate_per_s);
+        self.send_budget_at_ms = self.now_ms;
+        let period = period_at(self.now_ms);
         if period != self.period {
             self.period = period;
             self.shares.discard_before(period);
-            (self.vote_told, self.grant_told) = (0, 0);
+            (self.ballot_transmissions, self.grant_transmissions) = (0, 0);
         }
     }
 
-    /// Nothing ran here for a while. Answers wait in the socket, and what was not answered says nothing: suspicions
-    /// go on as if no time had passed, and this gateway trusts itself less.
-    fn resume_after_hang(&mut self, silence: f64) {
+    /// Handles a hang of this process. Answers may wait in the socket, so missing ones prove nothing: open probes are
+    /// discarded, suspicions continue as if no time had passed, and the local health becomes worse.
+    fn resume_after_hang(&mut self, gap_ms: f64) {
         self.probes.clear();
         self.relays.clear();
         for suspicion in self.suspicions.values_mut() {
-            suspicion.since += silence;
+            suspicion.since_ms += gap_ms;
         }
-        self.health = (self.health + 2).min(HEALTH_MOST);
-        self.record_change(self.at, MemberState::Alive, Cause::Hung(silence as u64));
+        self.local_health = (self.local_health + 2).min(MAX_LOCAL_HEALTH);
+        self.record_change(self.own_index, MemberState::Alive, Cause::Hung(gap_ms as u64));
     }
 }
--- a/crates/fleet/src/machine/parameters.rs
+++ b/crates/fleet/src/machine/parameters.rs
@@ -1,17 +1,18 @@
-//! Figures of the protocol that several modules use, and the hash that all gateways draw by.
+//! Protocol parameters that several modules use, and the hash that all gateways have in common.
 
-/// Helpers that ping in a gateway's place.
-pub(super) const HELPERS: usize = 3;
-/// Local health: the more a gateway's own probes fail, or it is suspected itself, the longer it waits. Lifeguard's bound.
-pub(super) const HEALTH_MOST: u32 = 8;
-/// Incarnations count tenths of a second since 2020 (Unix ms) in their upper bits, and a life's mark below: two
-/// processes that claim one number differ in it.
-pub(super) const SINCE_MS: f64 = 1_577_836_800_000.0;
-pub(super) const MARK_BITS: u32 = 12;
-/// News go out this often at most, ms.
-pub(super) const GOSSIP_MS: f64 = 100.0;
+/// Random members that are asked for an indirect ping, pinged at the start, or informed of a leave.
+pub(super) const PROBE_FANOUT: usize = 3;
+/// Upper bound of the local health, as in Lifeguard. The value rises, and time-outs with it, when this gateway's own
+/// probes fail or when others suspect it.
+pub(super) const MAX_LOCAL_HEALTH: u32 = 8;
+/// The upper bits of an incarnation count tenths of a second since this Unix time, the start of 2020.
+pub(super) const INCARNATION_EPOCH_MS: f64 = 1_577_836_800_000.0;
+/// The lower bits of an incarnation are a random mark of the process: it tells apart two processes with one number.
+pub(super) const PROCESS_MARK_BITS: u32 = 12;
+/// Shortest interval between two rounds of gossip, ms.
+pub(super) const GOSSIP_INTERVAL_MS: f64 = 100.0;
 
-/// The same drawn number for the same value at every gateway.
-pub(super) fn mix(value: u64) -> u64 {
+/// A pseudo-random number that is the same for the same value at every gateway.
+pub(super) fn hash(value: u64) -> u64 {
     fastrand::Rng::with_seed(value).u64(..)
 }
--- a/crates/fleet/src/machine/pending.rs
+++ b/crates/fleet/src/machine/pending.rs
@@ -2,29 +2,33 @@
 
 use std::collections::BTreeSet;
 
-/// A ping that waits for its answer.
+/// A ping that is not answered yet.
 #[derive(Debug)]
 pub(super) struct Probe {
-    pub(super) at: usize,
+    /// Index of the pinged member.
+    pub(super) target: usize,
     pub(super) seq: u16,
-    pub(super) sent: f64,
+    pub(super) sent_ms: f64,
     pub(super) asked_helpers: bool,
-    /// A helper said that it heard nothing either: this gateway's own links are fine.
+    /// A helper got no answer either, which shows that this gateway's own links work.
     pub(super) nacked: bool,
 }
 
-/// A ping in another's place.
+/// A ping on behalf of another gateway.
 #[derive(Debug)]
 pub(super) struct Relay {
-    pub(super) asker: u16,
-    pub(super) asked: u16,
+    /// Number of the gateway that requested the ping.
+    pub(super) requester: u16,
+    /// Sequence number of the request.
+    pub(super) requester_seq: u16,
+    /// Sequence number of this gateway's ping.
     pub(super) seq: u16,
-    pub(super) until: f64,
+    pub(super) until_ms: f64,
 }
 
-/// A member that is suspected, since when, and by whom.
+/// When a member became suspect, and who suspects it.
 #[derive(Debug)]
 pub(super) struct Suspicion {
-    pub(super) since: f64,
+    pub(super) since_ms: f64,
     pub(super) accusers: BTreeSet<u16>,
 }
--- a/crates/fleet/src/machine/suspicion.rs
+++ b/crates/fleet/src/machine/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions of members that do not answer, and how long each lasts (Lifeguard).
+//! Suspicion of members that do not answer, with Lifeguard's dynamic time-out.
 
 use super::pending::Suspicion;
 use super::{Cause, Membership};
@@ -6,69 +6,74 @@
 use crate::wire::Body;
 use std::collections::BTreeSet;
 
-/// Shortest and longest suspicion, in slots; independent accusers make it shorter.
-const SUSPECT_LEAST: f64 = 2.4;
-const SUSPECT_MOST: f64 = 8.0;
-/// Accusers beside the first after which a suspicion is as short as can be.
+/// Shortest and longest suspicion, in slots; independent accusers shorten it.
+const MIN_SUSPICION_SLOTS: f64 = 2.4;
+const MAX_SUSPICION_SLOTS: f64 = 8.0;
+/// Accusers in addition to the first that reduce the suspicion to its shortest.
 const CONFIRMATIONS: usize = 2;
 
 impl Membership {
-    pub(super) fn suspect(&mut self, at: usize, by: u16, cause: Cause) {
-        match self.view.member(at).state {
+    pub(super) fn suspect(&mut self, index: usize, by: u16, cause: Cause) {
+        match self.view.member(index).state {
             MemberState::Alive => {}
-            MemberState::Suspect => return self.confirm_suspicion(at, by),
-            // Never heard of: nothing to suspect.
+            MemberState::Suspect => return self.confirm_suspicion(index, by),
+            // An unknown member cannot be suspected, nor one that has left or is gone.
             MemberState::Unknown | MemberState::Leaving | MemberState::Gone => return,
         }
-        self.counts.suspected += u64::from(by == self.me);
-        let (incarnation, epoch) = (self.view.member(at).incarnation, self.view.member(at).epoch);
-        let from = self.view.set(self.now, at, MemberState::Suspect, incarnation, epoch);
-        self.view.contact(at).by = by;
-        self.suspicions.insert(at, Suspicion { since: self.now, accusers: BTreeSet::from([by]) });
-        self.record_change(at, from, cause);
-        self.spread(at);
-        // It hears of it from here at once: if it lives it takes it back before anyone acts on it.
-        if by == self.me {
-            self.send(at, Body::Gossip, false);
+        self.counts.suspected += u64::from(by == self.own_number);
+        let (incarnation, epoch) = (self.view.member(index).incarnation, self.view.member(index).epoch);
+        let from = self.view.set(self.now_ms, index, MemberState::Suspect, incarnation, epoch);
+        self.view.member_mut(index).suspected_by = by;
+        self.suspicions.insert(index, Suspicion { since_ms: self.now_ms, accusers: BTreeSet::from([by]) });
+        self.record_change(index, from, cause);
+        self.enqueue_gossip(index);
+        // Inform the suspect at once: if it is alive it can refute the suspicion before anyone acts on it.
+        if by == self.own_number {
+            self.send(index, Body::Gossip, false);
         }
     }
 
-    /// One more gateway did not reach a suspect.
-    pub(super) fn confirm_suspicion(&mut self, at: usize, by: u16) {
-        let Some(suspicion) = self.suspicions.get_mut(&at) else { return };
+    /// Adds an accuser to a suspicion.
+    pub(super) fn confirm_suspicion(&mut self, index: usize, by: u16) {
+        let Some(suspicion) = self.suspicions.get_mut(&index) else { return };
         if suspicion.accusers.len() <= CONFIRMATIONS && suspicion.accusers.insert(by) {
-            self.view.contact(at).by = by;
-            self.spread(at);
+            self.view.member_mut(index).suspected_by = by;
+            self.enqueue_gossip(index);
         }
     }
 
-    /// When a suspicion is over, ms: Lifeguard's fall from the longest to the shortest with the accusers.
-    pub(super) fn suspicion_ends(&self, suspicion: &Suspicion) -> f64 {
+    /// When a suspicion times out. As in Lifeguard, the time-out falls logarithmically with the number of accusers.
+    pub(super) fn suspicion_ends_ms(&self, suspicion: &Suspicion) -> f64 {
         let others = self.view.count(MemberState::Alive).saturating_sub(1);
-        let wanted = CONFIRMATIONS.min(others);
-        let heard = suspicion.accusers.len() - 1;
-        let fall = if wanted == 0 { 1.0 } else { ((heard + 1) as f64).ln() / ((wanted + 1) as f64).ln() };
-        let slots = SUSPECT_MOST - (SUSPECT_MOST - SUSPECT_LEAST) * fall.min(1.0);
-        suspicion.since + slots * self.slot_ms * (1.0 + f64::from(self.health) / 4.0)
+        let max_confirmations = CONFIRMATIONS.min(others);
+        let confirmations = suspicion.accusers.len() - 1;
+        let reduction = if max_confirmations == 0 {
+            1.0
+        } else {
+            ((confirmations + 1) as f64).ln() / ((max_confirmations + 1) as f64).ln()
+        };
+        let slots = MAX_SUSPICION_SLOTS - (MAX_SUSPICION_SLOTS - MIN_SUSPICION_SLOTS) * reduction.min(1.0);
+        suspicion.since_ms + slots * self.slot_ms * (1.0 + f64::from(self.local_health) / 4.0)
     }
 
     pub(super) fn run_suspicions(&mut self) {
         let due: Vec<usize> = (self.suspicions.iter())
-            .filter(|(_, suspicion)| self.now >= self.suspicion_ends(suspicion))
-            .map(|(at, _)| *at)
+            .filter(|(_, suspicion)| self.now_ms >= self.suspicion_ends_ms(suspicion))
+            .map(|(index, _)| *index)
             .collect();
-        for at in due {
-            // It was heard meanwhile, and has not heard that it is suspected: that is told again, not acted on.
-            let since = self.suspicions[&at].since;
-            if self.view.member(at).last_received_ms > since {
-                if let Some(suspicion) = self.suspicions.get_mut(&at) {
-                    suspicion.since = self.now;
+        for index in due {
+            // Datagrams arrived from the member since, so it probably missed the suspicion: inform it again and restart
+            // the time-out.
+            let since_ms = self.suspicions[&index].since_ms;
+            if self.view.member(index).last_received_ms > since_ms {
+                if let Some(suspicion) = self.suspicions.get_mut(&index) {
+                    suspicion.since_ms = self.now_ms;
                 }
-                self.send(at, Body::Gossip, false);
+                self.send(index, Body::Gossip, false);
                 continue;
             }
-            let (incarnation, epoch) = (self.view.member(at).incarnation, self.view.member(at).epoch);
-            self.set_state(at, MemberState::Gone, incarnation, epoch, Cause::SuspicionTimedOut);
+            let (incarnation, epoch) = (self.view.member(index).incarnation, self.view.member(index).epoch);
+            self.set_state(index, MemberState::Gone, incarnation, epoch, Cause::SuspicionTimedOut);
         }
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,39 +1,39 @@
-//! What is known of the members: plain state. The roster (who may be a member) is told by configuration and never
-//! grows by hearsay; what the members do is told by messages.
+//! The view of the members: plain state. The roster, the set of possible members, comes from the configuration and
+//! never grows through messages; the states of the members come from messages.
 
 use crate::wire::Claim;
 use std::net::SocketAddr;
 
-/// A place in the roster.
+/// A possible member, as configured.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RosterEntry {
-    /// Its number among its siblings, from 0.
+    /// The gateway's number in the fleet, from 0.
     pub number: u16,
-    /// Its name.
+    /// The configured name, for status and logs.
     pub name: String,
-    /// Where its datagrams go to and come from; `None`: the embedding program reaches it by its number.
+    /// Address of its datagrams in both directions; `None` if the embedding program addresses it by its number.
     pub address: Option<SocketAddr>,
-    /// Its zone; empty: not told.
+    /// Its zone; empty if not configured.
     pub zone: String,
 }
 
-/// What is held of a member.
+/// The state of a member in this gateway's view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// Told by the roster, never heard of.
+    /// In the roster, but nothing was received from it or about it.
     Unknown,
-    /// It lives.
+    /// It announced itself in this incarnation, and no probe has failed since.
     Alive,
-    /// Some did not reach it; it has a while to say that it lives.
+    /// Some gateways did not reach it; it can refute this before the suspicion times out.
     Suspect,
-    /// It leaves, or has left, by its own word.
+    /// It announced that it leaves, and may have left.
     Leaving,
-    /// Nobody reached it, and it said nothing.
+    /// Its suspicion timed out without an announcement that it leaves.
     Gone,
 }
 
 impl MemberState {
-    /// Its name in figures and logs.
+    /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Unknown => "unproven",
@@ -45,58 +45,57 @@
     }
 }
 
-/// A member as this gateway sees it.
+/// A member in this gateway's view.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What is held of it.
+    /// The state in this gateway's view.
     pub state: MemberState,
-    /// Its life: rises with each start and with each claim that it had to take back; 0: never heard of.
+    /// Rises with each start, each refuted claim and each change of its configuration epoch; 0 if the member is unknown.
     pub incarnation: u64,
-    /// Epoch of its configuration, by its own word.
+    /// Epoch of its configuration, as it announced it.
     pub epoch: u32,
-    /// Since when it has this state, ms.
+    /// When it entered this state or incarnation.
     pub since_ms: f64,
-    /// When a datagram of this life last came from it, ms; negative infinity: never.
+    /// When the last datagram arrived from it; negative infinity if none did.
     pub last_received_ms: f64,
-    /// Who suspected it first.
-    pub(crate) by: u16,
-    /// Datagrams that may yet be taken from it, and when that was reckoned, ms.
-    pub(crate) mail: f32,
-    pub(crate) mail_at: f64,
+    /// The gateway that suspected it last.
+    pub(crate) suspected_by: u16,
+    /// Datagrams that may still be accepted from it, and when this was computed.
+    pub(crate) receive_budget: f32,
+    pub(crate) receive_budget_at_ms: f64,
 }
 
 impl Member {
-    fn new(now: f64) -> Member {
-        let (state, heard, mail_at) = (MemberState::Unknown, f64::NEG_INFINITY, f64::NEG_INFINITY);
+    fn new(now_ms: f64) -> Member {
         Member {
-            state,
+            state: MemberState::Unknown,
             incarnation: 0,
             epoch: 0,
-            since_ms: now,
-            last_received_ms: heard,
-            by: 0,
-            mail: 0.0,
-            mail_at,
+            since_ms: now_ms,
+            last_received_ms: f64::NEG_INFINITY,
+            suspected_by: 0,
+            receive_budget: 0.0,
+            receive_budget_at_ms: f64::NEG_INFINITY,
         }
     }
 
-    /// What to claim of it to others; `None`: nothing is known.
+    /// The claim to report to others; `None` if the member is unknown.
     pub(crate) fn claim(&self) -> Option<Claim> {
         match self.state {
             MemberState::Unknown => None,
             MemberState::Alive => Some(Claim::Alive),
-            MemberState::Suspect => Some(Claim::Suspect(self.by)),
+            MemberState::Suspect => Some(Claim::Suspect(self.suspected_by)),
             MemberState::Leaving => Some(Claim::Leaving),
             MemberState::Gone => Some(Claim::Gone),
         }
     }
 
-    /// Its part of the digest: what all gateways must agree on. 0 for one never heard of.
-    fn print(&self, number: u16) -> u64 {
+    /// Its contribution to the digest: a hash of the fields on which all gateways must agree. 0 for an unknown member.
+    fn fingerprint(&self, number: u16) -> u64 {
         if self.state == MemberState::Unknown {
             return 0;
         }
-        // SplitMix64's finaliser (Steele, Lea, Flood 2014) over the fields in turn.
+        // The finalizer of SplitMix64 (Steele, Lea, Flood 2014), applied to the fields in turn.
         let mix = |seed: u64, value: u64| {
             let mut mixed = (seed ^ value).wrapping_add(0x9e37_79b9_7f4a_7c15);
             mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -108,124 +107,124 @@
     }
 }
 
-/// How many gateways live: an estimate with bounds.
+/// An estimate of the number of live gateways, with bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LiveEstimate {
-    /// So many surely did a moment ago.
+    /// Were certainly alive a moment ago.
     pub min: usize,
-    /// Most likely.
+    /// The most likely number: alive and suspect members.
     pub likely: usize,
-    /// No more than these: all that did not leave by their own word may be on the far side of a cut.
+    /// Upper bound: any gateway that did not announce its leave may be alive behind a network partition.
     pub max: usize,
 }
 
 /// The members, in the order of their numbers.
 #[derive(Debug, Clone)]
 pub struct View {
-    places: std::sync::Arc<[RosterEntry]>,
+    roster: std::sync::Arc<[RosterEntry]>,
     members: Vec<Member>,
-    /// How many are in each state: asked for each suspicion and each draw, with thousands of members.
+    /// Members in each state, kept because suspicions and random draws need them often, with thousands of members.
     counts: [usize; 5],
     digest: u64,
-    changed: f64,
+    last_change_ms: f64,
 }
 
 impl View {
-    /// Places in the order of their numbers, each once.
-    pub(crate) fn new(places: std::sync::Arc<[RosterEntry]>, now: f64) -> View {
-        let members: Vec<Member> = places.iter().map(|_| Member::new(now)).collect();
+    /// Creates a view of a roster that is sorted by number, with each number once.
+    pub(crate) fn new(roster: std::sync::Arc<[RosterEntry]>, now_ms: f64) -> View {
+        let members: Vec<Member> = roster.iter().map(|_| Member::new(now_ms)).collect();
         let mut counts = [0; 5];
         counts[MemberState::Unknown as usize] = members.len();
-        View { places, members, counts, digest: 0, changed: now }
+        View { roster, members, counts, digest: 0, last_change_ms: now_ms }
     }
 
-    /// Index of a number.
+    /// The index of the member with this number.
     pub fn index_of(&self, number: u16) -> Option<usize> {
-        // Numbers mostly run from 0 without a gap.
-        let at = usize::from(number);
-        if self.places.get(at).is_some_and(|place| place.number == number) {
-            return Some(at);
+        // Numbers usually run from 0 without gaps.
+        let index = usize::from(number);
+        if self.roster.get(index).is_some_and(|entry| entry.number == number) {
+            return Some(index);
         }
-        self.places.binary_search_by_key(&number, |place| place.number).ok()
+        self.roster.binary_search_by_key(&number, |entry| entry.number).ok()
     }
 
-    /// Places and members.
+    /// All members with their roster entries.
     pub fn members(&self) -> impl Iterator<Item = (&RosterEntry, &Member)> {
-        self.places.iter().zip(&self.members)
+        self.roster.iter().zip(&self.members)
     }
 
-    /// The place at an index.
-    pub fn roster_entry(&self, at: usize) -> &RosterEntry {
-        &self.places[at]
+    /// The roster entry at an index from [`View::index_of`].
+    pub fn roster_entry(&self, index: usize) -> &RosterEntry {
+        &self.roster[index]
     }
 
-    /// The member at an index.
-    pub fn member(&self, at: usize) -> &Member {
-        &self.members[at]
+    /// The member at an index from [`View::index_of`].
+    pub fn member(&self, index: usize) -> &Member {
+        &self.members[index]
     }
 
-    /// How many places there are.
+    /// The size of the roster.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// There is no place.
+    /// Whether the roster is empty.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Members in this state.
+    /// The number of members in a state.
     pub fn count(&self, state: MemberState) -> usize {
         self.counts[state as usize]
     }
 
-    /// Equal at two gateways exactly when their views are (but for one chance in 2^64): of each member ever heard
-    /// of, number, incarnation, epoch and state.
+    /// A digest that is equal at two gateways exactly if their views are equal, but for a collision with probability
+    /// 2^-64. It covers the number, incarnation, epoch and state of each member that is not unknown.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// When it last changed, ms.
+    /// Time of the last change of the digest, Unix ms.
     pub fn last_change_ms(&self) -> f64 {
-        self.changed
+        self.last_change_ms
     }
 
-    /// Digest of the members whose numbers lie in a range.
-    pub(crate) fn digest_of(&self, from: u32, to: u32) -> u32 {
-        let first = self.places.partition_point(|place| u32::from(place.number) < from);
-        let range = self.places[first..].iter().zip(&self.members[first..]);
-        let range = range.take_while(|(place, _)| u32::from(place.number) < to);
-        range.fold(0u64, |sum, (place, member)| sum.wrapping_add(member.print(place.number))) as u32
+    /// Digest of the members with numbers from `first` to before `end`.
+    pub(crate) fn digest_of(&self, first: u32, end: u32) -> u32 {
+        let start = self.roster.partition_point(|entry| u32::from(entry.number) < first);
+        let range = self.roster[start..].iter().zip(&self.members[start..]);
+        let range = range.take_while(|(entry, _)| u32::from(entry.number) < end);
+        range.fold(0u64, |sum, (entry, member)| sum.wrapping_add(member.fingerprint(entry.number))) as u32
     }
 
-    /// What direct contact tells, which is no part of the digest.
-    pub(crate) fn contact(&mut self, at: usize) -> &mut Member {
-        &mut self.members[at]
+    /// For fields that are not part of the digest.
+    pub(crate) fn member_mut(&mut self, index: usize) -> &mut Member {
+        &mut self.members[index]
     }
 
-    /// Changes a member; the digest follows. Returns its former state.
+    /// Changes a member and updates the digest. Returns the former state.
     pub(crate) fn set(
         &mut self,
-        now: f64,
-        at: usize,
+        now_ms: f64,
+        index: usize,
         state: MemberState,
         incarnation: u64,
         epoch: u32,
     ) -> MemberState {
-        let number = self.places[at].number;
-        let member = &mut self.members[at];
-        let (former, before) = (member.state, member.print(number));
-        if former != state || member.incarnation != incarnation {
-            member.since_ms = now;
+        let number = self.roster[index].number;
+        let member = &mut self.members[index];
+        let (former_state, fingerprint_before) = (member.state, member.fingerprint(number));
+        if former_state != state || member.incarnation != incarnation {
+            member.since_ms = now_ms;
         }
-        self.counts[former as usize] -= 1;
+        self.counts[former_state as usize] -= 1;
         self.counts[state as usize] += 1;
         (member.state, member.incarnation, member.epoch) = (state, incarnation, epoch);
-        let after = member.print(number);
-        if before != after {
-            self.digest = self.digest.wrapping_sub(before).wrapping_add(after);
-            self.changed = now;
+        let fingerprint_after = member.fingerprint(number);
+        if fingerprint_before != fingerprint_after {
+            self.digest = self.digest.wrapping_sub(fingerprint_before).wrapping_add(fingerprint_after);
+            self.last_change_ms = now_ms;
         }
-        former
+        former_state
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,30 +1,30 @@
-//! What a datagram says, as bytes: a version, the packet in postcard's form, and a CRC-32C of both. 256 bytes at most.
+//! Encoding of datagrams: a version byte, the packet as postcard, and a CRC-32C of both; 256 bytes at most.
 
 use crate::share::{Ballot, Grant};
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a datagram, by the protocol page: a longer one is never made and never read.
+/// Largest datagram, as the protocol page states: a longer one is neither encoded nor decoded.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Version of the datagrams: another one is dropped whole, for what it would mean is not known.
+/// Version of the encoding. A datagram of another version is dropped, since its meaning is unknown.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Bytes of the version and the checksum.
-const FRAME: usize = 5;
+/// Bytes of the version and the checksum together.
+const FRAMING_BYTES: usize = 5;
 
-/// What is claimed of a member.
+/// A claim about a member's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Claim {
-    /// It lives.
     Alive,
-    /// It did not answer the gateway of this number, nor its helpers.
+    /// It did not answer the gateway with this number, nor that gateway's helpers.
     Suspect(u16),
-    /// It leaves by its own word.
+    /// It announced that it leaves.
     Leaving,
-    /// Nobody heard it for as long as a suspicion lasts.
+    /// Its suspicion timed out.
     Gone,
 }
 
 impl Claim {
-    /// Of two claims of one incarnation the higher holds: only the member itself takes a claim back, with a new one.
+    /// Of two claims with one incarnation the higher rank supersedes. Only the member itself can refute a claim, with a
+    /// new incarnation.
     pub(crate) fn rank(self) -> u8 {
         match self {
             Claim::Alive => 0,
@@ -35,24 +35,25 @@
     }
 }
 
-/// What is told of a member.
+/// What a gateway reports about a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Entry {
     pub(crate) number: u16,
     pub(crate) claim: Claim,
-    /// Incarnation less that of the sender: gateways that started together need fewer bytes.
-    ahead: i64,
-    /// Epoch of its configuration.
+    /// Incarnation relative to the sender's: for gateways that started together this takes fewer bytes.
+    incarnation_offset: i64,
+    /// Epoch of the member's configuration.
     pub(crate) epoch: u32,
 }
 
 impl Entry {
+    /// An entry in a datagram whose sender has the incarnation `base`.
     pub(crate) fn new(number: u16, claim: Claim, incarnation: u64, epoch: u32, base: u64) -> Entry {
-        Entry { number, claim, ahead: incarnation.wrapping_sub(base) as i64, epoch }
+        Entry { number, claim, incarnation_offset: incarnation.wrapping_sub(base) as i64, epoch }
     }
 
     pub(crate) fn incarnation(&self, base: u64) -> u64 {
-        base.wrapping_add(self.ahead as u64)
+        base.wrapping_add(self.incarnation_offset as u64)
     }
 
     pub(crate) fn byte_len(&self) -> usize {
@@ -60,60 +61,60 @@
     }
 }
 
-/// What a packet asks for.
+/// The kind of a packet with its parameters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    /// Answer with an [`Body::Ack`] of this number.
+    /// Requests an [`Body::Ack`] with this sequence number.
     Ping(u16),
-    /// The answer.
+    /// Answers a ping.
     Ack(u16),
-    /// Ping that member and answer with what came of it.
-    PingFor { number: u16, seq: u16 },
-    /// The helper heard nothing: its own path to the asker is fine.
+    /// Requests an indirect ping of the member `number`, and an answer with the sequence number `seq`.
+    PingRequest { number: u16, seq: u16 },
+    /// A helper got no answer to the indirect ping. It shows that the path between it and the requester works.
     Nack(u16),
-    /// News alone.
+    /// Only entries and votes.
     Gossip,
-    /// Digests of equal parts of a range of numbers; what differs is told.
-    Compare { from: u16, span: u16, parts: Vec<u32> },
-    /// The news are all that is known of a range; `back`: tell what is newer.
-    Tell { from: u16, span: u16, back: bool },
+    /// The digests of equal parts of a range of numbers; the receiver replies about the parts that differ.
+    CompareDigests { first: u16, span: u16, digests: Vec<u32> },
+    /// The packet's entries are from a range of numbers; if `reply_wanted` they are all that the sender knows of it, and
+    /// the receiver replies with newer ones.
+    Entries { first: u16, span: u16, reply_wanted: bool },
 }
 
-/// A datagram's content.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Packet {
     pub(crate) from: u16,
-    /// Print of the sender's roster: votes and parts mean something only among those that have the same.
-    pub(crate) roster: u16,
+    /// Hash of the sender's roster: votes and shares are valid only among gateways with the same roster.
+    pub(crate) roster_hash: u16,
     pub(crate) incarnation: u64,
-    /// Epoch of its configuration.
+    /// Epoch of the sender's configuration.
     pub(crate) epoch: u32,
-    /// It leaves.
     pub(crate) leaving: bool,
-    /// The lower half of the sender's digest.
+    /// The lower half of the digest of the sender's view.
     pub(crate) digest: u32,
     pub(crate) body: Body,
     pub(crate) ballot: Option<Ballot>,
     pub(crate) grant: Option<Grant>,
-    pub(crate) news: Vec<Entry>,
+    pub(crate) entries: Vec<Entry>,
 }
 
-/// Why a datagram can't be read.
+/// Why a datagram cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Unreadable {
+pub(crate) enum DecodeError {
     Damaged,
-    Version,
+    UnknownVersion,
 }
 
 impl Packet {
-    /// Bytes that are left for news.
+    /// Bytes left for entries.
     pub(crate) fn room(&self) -> usize {
         let head = postcard::to_allocvec(self).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
-        // The number of news may take a byte more than an empty list's.
-        (MAX_DATAGRAM_BYTES - FRAME).saturating_sub(head + 1)
+        // The length of the entry list may take one byte more than that of an empty list.
+        (MAX_DATAGRAM_BYTES - FRAMING_BYTES).saturating_sub(head + 1)
     }
 
-    /// The datagram; `None` if it would be too long, which the caller's bounds rule out.
+    /// Encodes the datagram; `None` if it would be too long, which the limits of the callers rule out.
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
         let mut bytes = vec![PROTOCOL_VERSION];
         bytes.extend(postcard::to_allocvec(self).ok()?);
@@ -121,20 +122,20 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    pub(crate) fn decode(bytes: &[u8]) -> Result<Packet, Unreadable> {
-        if bytes.len() <= FRAME || bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(Unreadable::Damaged);
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Packet, DecodeError> {
+        if bytes.len() <= FRAMING_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DecodeError::Damaged);
         }
         let (head, sum) = bytes.split_at(bytes.len() - 4);
         if crc32c::crc32c(head).to_le_bytes() != sum {
-            return Err(Unreadable::Damaged);
+            return Err(DecodeError::Damaged);
         }
         if head[0] != PROTOCOL_VERSION {
-            return Err(Unreadable::Version);
+            return Err(DecodeError::UnknownVersion);
         }
         match postcard::take_from_bytes::<Packet>(&head[1..]) {
             Ok((packet, [])) => Ok(packet),
-            _ => Err(Unreadable::Damaged),
+            _ => Err(DecodeError::Damaged),
         }
     }
 }
@@ -144,14 +145,14 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn packet(news: usize) -> Packet {
+    fn packet(entry_count: usize) -> Packet {
         let entry =
             |number| Entry::new(number, Claim::Suspect(7), 5_000_000 + u64::from(number), 3, 5_000_000);
-        let news = (0..news as u16).map(entry).collect();
+        let entries = (0..entry_count as u16).map(entry).collect();
         let (ballot, grant) = (None, None);
         Packet {
             from: 3,
-            roster: 77,
+            roster_hash: 77,
             incarnation: 5_000_000,
             epoch: 1,
             leaving: false,
@@ -159,34 +160,34 @@
             body: Body::Ping(4),
             ballot,
             grant,
-            news,
+            entries,
         }
     }
 
     #[test]
-    fn a_packet_comes_back_as_it_went_and_a_changed_bit_or_another_version_does_not() {
+    fn packet_round_trips_and_flipped_bits_and_other_versions_are_rejected() {
         let bytes = packet(5).encode().expect("short");
         assert_eq!(Packet::decode(&bytes), Ok(packet(5)));
         for bit in 0..bytes.len() * 8 {
-            let mut other = bytes.clone();
-            other[bit / 8] ^= 1 << (bit % 8);
-            assert_eq!(Packet::decode(&other), Err(Unreadable::Damaged), "bit {bit}");
+            let mut damaged = bytes.clone();
+            damaged[bit / 8] ^= 1 << (bit % 8);
+            assert_eq!(Packet::decode(&damaged), Err(DecodeError::Damaged), "bit {bit}");
         }
-        let mut later = bytes[..bytes.len() - 4].to_vec();
-        later[0] = PROTOCOL_VERSION + 1;
-        later.extend(crc32c::crc32c(&later).to_le_bytes());
-        assert_eq!(Packet::decode(&later), Err(Unreadable::Version));
-        assert_eq!(packet(200).encode(), None, "too long is not made");
+        let mut newer = bytes[..bytes.len() - 4].to_vec();
+        newer[0] = PROTOCOL_VERSION + 1;
+        newer.extend(crc32c::crc32c(&newer).to_le_bytes());
+        assert_eq!(Packet::decode(&newer), Err(DecodeError::UnknownVersion));
+        assert_eq!(packet(200).encode(), None, "a packet that is too long is not encoded");
     }
 
     proptest! {
         #[test]
-        fn noise_is_turned_down_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            let mut summed = bytes.clone();
-            summed.insert(0, PROTOCOL_VERSION);
-            let sum = crc32c::crc32c(&summed);
-            summed.extend(sum.to_le_bytes());
-            let _ = Packet::decode(&summed);
+        fn garbage_is_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+            let mut with_checksum = bytes.clone();
+            with_checksum.insert(0, PROTOCOL_VERSION);
+            let sum = crc32c::crc32c(&with_checksum);
+            with_checksum.extend(sum.to_le_bytes());
+            let _ = Packet::decode(&with_checksum);
             prop_assert!(Packet::decode(&bytes).is_err());
         }
     }
