--- a/crates/fleet/src/share.rs
+++ b/crates/fleet/src/share.rs
@@ -1,5 +1,5 @@
-//! The share of a common quantity that this gateway may use now. The invariant: the shares of all gateways never add up
-//! to more than the whole, in any view, converged or not, provided that all gateways have the same roster.
+//! The share of a common quantity that this gateway may use now. The invariant: the shares of all gateways never add
+//! up to more than the whole, in any view, converged or not, provided that all gateways have the same roster.
 //!
 //! Half of the whole is divided evenly and permanently over the roster. The other half, the pool, is granted for each
 //! period of the common clock: a leader with the votes of a majority of the roster divides it over the live gateways.
@@ -8,7 +8,7 @@
 //!   a start, when any vote of an earlier process has expired. So a period has at most one leader and one grant.
 //! - A grant names its members and a divisor. The divisor is at least the size of the union of its members and those of
 //!   the previous grant; if the leader does not hold the previous grant, the divisor is the size of the roster.
-//! - A gateway uses its part of the pool in the period by its own clock, and only if the grants of this period and of the
+//! - A gateway uses its part of the pool only in a period, by its own clock, for which this period's grant and the
 //!   previous one both name it. After a pause of the process the first look at the clock shows that its grants expired.
 //!
 //! While clocks differ by less than a period, all gateways that use the pool at one moment are members of one grant, and
@@ -78,8 +78,8 @@
         self.roster_size > MAX_ROSTER_WITH_POOL
     }
 
-    /// Votes for a leader of the next period. Without effect if this gateway has already voted in that period or has only
-    /// just started.
+    /// Votes for a leader of the next period. Has no effect if this gateway has already voted for that period, or has
+    /// only just started.
     pub fn vote(&mut self, period: u32, leader: u16) {
         let next = period + 1;
         if self.has_no_pool()
@@ -148,7 +148,7 @@
         self.grants.get(&grant.period) == Some(grant)
     }
 
-    /// Discards votes and grants that are no longer needed in this period.
+    /// Discards the votes up to this period, and the grants before the previous one.
     pub fn discard_before(&mut self, period: u32) {
         self.voters.retain(|(voted_period, _), _| *voted_period > period);
         self.grants.retain(|granted_period, _| *granted_period + 1 >= period);
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -50,13 +50,14 @@
 pub struct Member {
     /// The state in this gateway's view.
     pub state: MemberState,
-    /// Rises with each start, each refuted claim and each change of its configuration epoch; 0 if the member is unknown.
+    /// Rises with each start, refuted claim, cancelled leave and change of the configuration epoch; 0 if the member is
+    /// unknown.
     pub incarnation: u64,
     /// Epoch of its configuration, as it announced it.
     pub epoch: u32,
-    /// When it entered this state or incarnation.
+    /// When it entered this state or incarnation, Unix ms.
     pub since_ms: f64,
-    /// When the last datagram arrived from it; negative infinity if none did.
+    /// When the last datagram arrived from it, Unix ms; negative infinity if none did.
     pub last_received_ms: f64,
     /// The gateway that suspected it last.
     pub(crate) suspected_by: u16,
@@ -110,7 +111,7 @@
 /// An estimate of the number of live gateways, with bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LiveEstimate {
-    /// Were certainly alive a moment ago.
+    /// Lower bound: gateways that were certainly alive a moment ago.
     pub min: usize,
     /// The most likely number: alive and suspect members.
     pub likely: usize,
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -13,6 +13,7 @@
 /// A claim about a member's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Claim {
+    /// It runs.
     Alive,
     /// It did not answer the gateway with this number, nor that gateway's helpers.
     Suspect(u16),
