--- a/crates/edge/tests/claims.rs
+++ b/crates/edge/tests/claims.rs
@@ -1,8 +1,8 @@
 //! Claims and questions over sockets: a leader that is scripted, and a holder with its true table.
 
-mod link_world;
+mod core_client_fixture;
 
-use link_world::{link, serve, wheel};
+use core_client_fixture::{core_client, start_server, start_wheel};
 use nickeljunction_edge::claim_client::ClaimClient;
 use nickeljunction_edge::operations::{BeginResult, OperationTable};
 use nickeljunction_edge::recall::RecallResource;
@@ -58,13 +58,13 @@
 }
 
 async fn claim(reactions: Vec<Reaction>, for_ms: f64) -> (Option<ClaimAnswer>, Vec<Vec<u8>>) {
-    let wheel = wheel();
+    let wheel = start_wheel();
     let (reactions, bodies) = (RefCell::new(reactions), RefCell::default());
     let leader = Rc::new(Leader { wheel: wheel.clone(), reactions, bodies });
-    let port = serve(&wheel, &[(path::CLAIM, leader.clone())]).await;
+    let port = start_server(&wheel, &[(path::CLAIM, leader.clone())]).await;
     let call = ClaimCall { operation: OPERATION, claimant: claimant(1, 1), released: None };
     let until = wheel.now() + for_ms;
-    let answer = link(&wheel, port).claim(&call, until).await;
+    let answer = core_client(&wheel, port).claim(&call, until).await;
     let bodies = leader.bodies.borrow().clone();
     (answer, bodies)
 }
@@ -103,14 +103,16 @@
 #[test]
 fn a_holder_tells_of_its_own_claims_and_another_life_is_in_doubt() {
     run(async {
-        let wheel = wheel();
+        let wheel = start_wheel();
         let operations = Rc::new(RefCell::new(OperationTable::new(Ipv4Addr::LOCALHOST, 5, 60_000.0)));
         let begun = operations.borrow_mut().begin(wheel.now(), OPERATION, 9);
         let BeginResult::Claim { claimant: own, .. } = begun else { panic!("{begun:?}") };
-        let port =
-            serve(&wheel, &[(path::RECALL, Rc::new(RecallResource::new(wheel.clone(), operations.clone())))])
-                .await;
-        let link = link(&wheel, port);
+        let port = start_server(
+            &wheel,
+            &[(path::RECALL, Rc::new(RecallResource::new(wheel.clone(), operations.clone())))],
+        )
+        .await;
+        let link = core_client(&wheel, port);
         let ask = async |claimant| {
             let call = RecallCall { operation: OPERATION, claimant, request_digest: 9 };
             link.recall(&call, 5_000.0).await
--- a/crates/edge/tests/shutdown_soak.rs
+++ b/crates/edge/tests/shutdown_soak.rs
@@ -1,10 +1,10 @@
 //! Shutdowns under use: signals and configurations come in series and overlap, clients ask until the process is gone, and it
 //! may lack processor time. Judged by the clients' and the servers' books alone.
 
-mod shutdown_world;
+mod shutdown_simulation;
 
 use nickeljunction_messages::{ServerInfo, ServerState};
-use shutdown_world::*;
+use shutdown_simulation::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
--- a/crates/edge/tests/units.rs
+++ b/crates/edge/tests/units.rs
@@ -1,8 +1,8 @@
 //! Requests that wait for a unit, against a leader with a true counter whose answers take their time; in virtual time.
 
-mod link_world;
+mod core_client_fixture;
 
-use link_world::{link, serve, wheel};
+use core_client_fixture::{core_client, start_server, start_wheel};
 use nickeljunction_edge::exchange::{Admission, AdmissionDecision};
 use nickeljunction_messages::{path, UnitsCall, VersionedConfig, WatchAnswer};
 use nickeljunction_net::desk::{Answering, Call, Resource, Response};
@@ -66,13 +66,13 @@
 /// What the second of two requests is told, of which the first one's call goes out at once and its own 150 ms later; and how
 /// long it waited, ms.
 async fn second(way_ms: f64) -> (AdmissionDecision, f64) {
-    let wheel = wheel();
+    let wheel = start_wheel();
     let mut counter = Counter::new(wheel.now() as u64, 1, Tuning::new(5_000), BTreeMap::new());
     counter.set_limits(wheel.now() as u64, &BTreeMap::from([("t".into(), Limit { cap: 50, pace: 50 })]));
     let watch = Rc::new(Watch { wheel: wheel.clone(), asked: Cell::new(false) });
     let far = Rc::new(Far { wheel: wheel.clone(), counter: RefCell::new(counter), way_ms: Cell::new(1.0) });
-    let port = serve(&wheel, &[(path::WATCH, watch), (path::UNITS, far.clone())]).await;
-    let link = link(&wheel, port);
+    let port = start_server(&wheel, &[(path::WATCH, watch), (path::UNITS, far.clone())]).await;
+    let link = core_client(&wheel, port);
     spawn_local(link.clone().run_watch());
     spawn_local(link.clone().run_quota_sync());
     wheel.sleep(1_000.0).await;
