--- a/crates/edge/tests/frontend_shutdown.rs
+++ b/crates/edge/tests/frontend_shutdown.rs
@@ -1,4 +1,5 @@
-//! A front after the order to leave: what is begun, what is refused, and what those at work are told.
+//! The frontend after the start of an orderly shutdown: which requests it accepts and refuses, which connections it closes,
+//! and what clients receive whose requests have no answer at the end.
 
 mod frontend_fixture;
 
@@ -6,18 +7,18 @@
 use nickeljunction_edge::shutdown::Shutdown;
 use nickeljunction_messages::TrialInfo;
 
-/// From the order to leave to the end of the process, ms.
+/// Time from the start of the shutdown to the end of the process, ms.
 const GRACE_MS: f64 = 6_000.0;
 
-/// What a client is told that may come back elsewhere.
-fn refused(text: &str) -> bool {
+/// Whether the answer tells the client to retry on another connection.
+fn is_refusal(text: &str) -> bool {
     text.starts_with("HTTP/1.1 503 ")
         && text.contains("Retry-After: 0.050\r\n")
         && text.contains("Connection: close\r\n")
 }
 
 #[test]
-fn at_the_order_to_leave_all_that_were_passed_on_are_answered_and_the_last_one_closes() {
+fn at_shutdown_dispatched_requests_are_answered_and_the_last_answer_closes_the_connection() {
     run_test(async {
         let fixture = FrontendFixture::new("");
         let mut client = fixture.client();
@@ -35,50 +36,56 @@
         fixture.lifecycle.all_closed().await;
         assert!(
             fixture.proxy.attempt_ids().is_empty(),
-            "taken behind a closing answer: {:?}",
+            "dispatched behind the closing answer: {:?}",
             fixture.proxy.attempt_ids()
         );
-        // One that comes now is served once.
-        let mut late = fixture.client();
-        send(&mut late, &[get("/i/", "5"), get("/i/", "6")].concat()).await;
+        // A connection that opens after the start of the shutdown is closed after one request.
+        let mut late_client = fixture.client();
+        send(&mut late_client, &[get("/i/", "5"), get("/i/", "6")].concat()).await;
         fixture.expect_dispatched(&["5"]).await;
         fixture.reply_ok("5");
-        assert!(read_to_end(&mut late).await.contains("Connection: close\r\n"));
+        assert!(read_to_end(&mut late_client).await.contains("Connection: close\r\n"));
         assert!(fixture.proxy.attempt_ids().is_empty());
-        // One that stays idle is closed.
+        // An idle connection is closed.
         fixture.lifecycle.set_idle_grace_ms(1.0);
         assert_eq!(read_to_end(&mut fixture.client()).await, "");
     });
 }
 
 #[test]
-fn a_request_that_could_not_end_before_the_process_is_refused_and_goes_no_further() {
+fn a_request_that_could_not_finish_before_the_process_ends_is_refused_and_not_dispatched() {
     run_test(async {
         let fixture = FrontendFixture::new("");
-        // Its head is read before the order, its body after it.
-        let mut early = fixture.client();
-        send(&mut early, "POST /n/ HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 0\r\nContent-Length: 2\r\n\r\na")
-            .await;
+        // The head is read before the start of the shutdown, the body after it.
+        let mut early_client = fixture.client();
+        send(
+            &mut early_client,
+            "POST /n/ HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 0\r\nContent-Length: 2\r\n\r\na",
+        )
+        .await;
         settle().await;
         fixture.lifecycle.begin_shutdown(Shutdown::begin(fixture.wheel.now(), 0.0, 0.0));
-        send(&mut early, "b").await;
-        let text = read_to_end(&mut early).await;
-        assert!(refused(&text), "{text}");
+        send(&mut early_client, "b").await;
+        let text = read_to_end(&mut early_client).await;
+        assert!(is_refusal(&text), "{text}");
         for request in [get("/i/", "1"), post("/n/", "2", "body"), authorized_request("GET", "/w/", "3")] {
             let mut client = fixture.client();
             send(&mut client, &request).await;
             let text = read_to_end(&mut client).await;
-            assert!(refused(&text), "{request}: {text}");
+            assert!(is_refusal(&text), "{request}: {text}");
         }
         assert_eq!(fixture.proxy.attempt_ids(), [""; 0]);
-        assert!(fixture.admission.admit_calls.borrow().is_empty(), "units were taken for what can't be sent");
+        assert!(
+            fixture.admission.admit_calls.borrow().is_empty(),
+            "quota was spent on requests that can't be sent"
+        );
         let counts = fixture.frontend.counts();
         assert_eq!((counts.refused_at_shutdown.get(), counts.refused.get()), (4, 4));
     });
 }
 
 #[test]
-fn a_request_begun_after_the_order_has_no_more_time_than_the_process() {
+fn the_timeout_of_a_request_after_the_start_of_shutdown_ends_with_the_last_answers() {
     run_test(async {
         let fixture = FrontendFixture::new("");
         let shutdown = Shutdown::begin(fixture.wheel.now(), 0.0, 1_800.0);
@@ -92,7 +99,7 @@
 }
 
 #[test]
-fn at_the_end_what_has_no_answer_is_told_so() {
+fn at_the_end_of_shutdown_unanswered_requests_get_504() {
     run_test(async {
         let fixture = FrontendFixture::new("");
         let mut client = fixture.client();
@@ -113,11 +120,11 @@
 }
 
 #[test]
-fn a_full_queue_goes_on_at_the_order_to_leave() {
+fn at_shutdown_all_requests_in_a_full_pacing_queue_are_dispatched() {
     run_test(async {
         let fixture = FrontendFixture::new("");
-        let line = TrialInfo { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
-        fixture.admission.pacing.update_trials(&[line], Some(fixture.document.config()));
+        let trial = TrialInfo { tenant: "t".into(), step: 1, stage: 1, in_ms: 0 };
+        fixture.admission.pacing.update_trials(&[trial], Some(fixture.document.config()));
         let mut clients = Vec::new();
         for id in 0..64 {
             let mut client = fixture.client();
@@ -138,9 +145,9 @@
             let (head, _) = read_response(client).await;
             assert!(head.starts_with("HTTP/1.1 200 ") && head.contains("Connection: close"), "{head}");
         }
-        // Who comes now isn't held either.
-        let mut late = fixture.client();
-        send(&mut late, &authorized_request("GET", "/w/", "late")).await;
+        // Later requests aren't queued either.
+        let mut late_client = fixture.client();
+        send(&mut late_client, &authorized_request("GET", "/w/", "late")).await;
         fixture.expect_dispatched(&["late"]).await;
     });
 }
