--- a/crates/edge/tests/server_disconnects.rs
+++ b/crates/edge/tests/server_disconnects.rs
@@ -1,4 +1,5 @@
-//! A server's connection that ends at any byte of a request or of its answer, over loopback.
+//! Server connections that close, reset or stall at any byte of a request or of its response, over loopback: a request that
+//! must not run twice runs at most once, no client receives a truncated response, and the next request gets its own response.
 
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::RetrySafety;
@@ -23,55 +24,59 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, JoinSet, LocalSet};
 
-/// How a connection ends.
+/// How a server ends a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
+enum Ending {
     Close,
     Reset,
-    /// It stays, and nothing more comes.
-    Silence,
+    /// The connection stays open, but the server sends nothing more.
+    Stall,
 }
 
-/// Where the first connection ends: after so many bytes of the request, or after the whole request and so many of the
-/// answer.
+/// Where the first connection ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Spot {
+enum Position {
+    /// After this number of bytes of the request.
     Request(usize),
-    Answer(usize),
-    /// Amid a long answer.
-    Long,
+    /// After the complete request and this number of bytes of the response.
+    Response(usize),
+    /// Within a long response.
+    LongResponse,
 }
 
+/// One case: the first connection ends this way, with a request of this retry safety on it.
 #[derive(Debug, Clone, Copy)]
-struct Cut {
-    at: Spot,
-    end: End,
-    repeat: RetrySafety,
+struct Disconnect {
+    position: Position,
+    ending: Ending,
+    retry_safety: RetrySafety,
 }
 
-/// What the servers have seen: the ids that they ran, and whether the first connection has been taken.
+/// What the servers of a case have received.
 #[derive(Default)]
-struct Seen {
-    ran: RefCell<Vec<String>>,
-    cut: Cell<bool>,
-    /// Longest whole request.
-    request: Cell<usize>,
+struct ServerLog {
+    /// The id of each run, in order.
+    runs: RefCell<Vec<String>>,
+    /// The first connection, which ends early, has been accepted.
+    first_accepted: Cell<bool>,
+    /// Length of the longest complete request.
+    longest_request: Cell<usize>,
 }
 
-/// How much later than its time an answer may come on a busy machine, ms: far less than the bound of any connection.
-const LATE_MS: f64 = 2_000.0;
-const BODY: &[u8] = b"0123456789";
+/// How long after its deadline an answer may arrive on a busy machine, ms: far less than the time-out of any connection.
+const SCHEDULING_SLACK_MS: f64 = 2_000.0;
+const REQUEST_BODY: &[u8] = b"0123456789";
 
-fn good(id: &str) -> Vec<u8> {
+fn response(id: &str) -> Vec<u8> {
     let body = format!("for {id}");
     let length = body.len();
     format!("HTTP/1.1 200 X\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nContent-Length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
 
-/// The length of the whole request that stands at the start of `from`, and its id.
-fn whole(from: &BytesMut) -> Option<(usize, String)> {
-    let mut rest = from.clone();
+/// The length and the id of the complete request at the start of `buffer`; `None`: it is incomplete.
+fn complete_request(buffer: &BytesMut) -> Option<(usize, String)> {
+    let mut rest = buffer.clone();
     let head = read_request_head(&mut rest, 16_384).expect("a request")?;
     let mut reader = BodyReader::new(head.framing, 1 << 20).expect("within bounds");
     while !reader.is_complete() {
@@ -79,67 +84,70 @@
             return None;
         }
     }
-    Some((from.len() - rest.len(), head.headers.get("x-attempt-id").expect("an id").to_string()))
+    Some((buffer.len() - rest.len(), head.headers.get("x-attempt-id").expect("an id").to_string()))
 }
 
-/// A long answer, of which only a part is sent.
-fn long(id: &str) -> Vec<u8> {
+/// The first half of a response with a body of 200 kB.
+fn half_of_long_response(id: &str) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 200 X\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nContent-Length: 200000\r\n\r\n"
     );
     [head.as_bytes(), &[b'x'; 100_000]].concat()
 }
 
-fn finish(stream: TcpStream, end: End) {
-    match end {
-        End::Close => drop(stream),
-        End::Reset => {
-            socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)).expect("a socket");
+fn end_connection(stream: TcpStream, ending: Ending) {
+    match ending {
+        Ending::Close => drop(stream),
+        Ending::Reset => {
+            socket2::SockRef::from(&stream)
+                .set_linger(Some(std::time::Duration::ZERO))
+                .expect("set SO_LINGER");
         }
-        End::Silence => {
+        Ending::Stall => {
             spawn_local(async move {
                 let mut stream = stream;
-                let mut scrap = [0; 1024];
-                while stream.read(&mut scrap).await.is_ok_and(|read| read > 0) {}
+                let mut discarded = [0; 1024];
+                while stream.read(&mut discarded).await.is_ok_and(|read| read > 0) {}
             });
         }
     }
 }
 
-async fn serve(mut stream: TcpStream, seen: Rc<Seen>, cut: Cut) {
-    let first = !seen.cut.replace(true);
-    let mut from = BytesMut::new();
-    if let (true, Spot::Request(bytes)) = (first, cut.at) {
-        let mut some = vec![0; bytes];
+/// Answers requests; the first connection of all ends as `disconnect` says.
+async fn serve(mut stream: TcpStream, log: Rc<ServerLog>, disconnect: Disconnect) {
+    let is_first = !log.first_accepted.replace(true);
+    let mut buffer = BytesMut::new();
+    if let (true, Position::Request(bytes)) = (is_first, disconnect.position) {
+        let mut part = vec![0; bytes];
         if bytes > 0 {
-            stream.read_exact(&mut some).await.expect("a request");
+            stream.read_exact(&mut part).await.expect("a request");
         }
-        if let Some((_, id)) = whole(&BytesMut::from(&some[..])) {
-            seen.ran.borrow_mut().push(id);
+        if let Some((_, id)) = complete_request(&BytesMut::from(&part[..])) {
+            log.runs.borrow_mut().push(id);
         }
-        return finish(stream, cut.end);
+        return end_connection(stream, disconnect.ending);
     }
     loop {
         let (length, id) = loop {
-            match whole(&from) {
-                Some(whole) => break whole,
-                None if stream.read_buf(&mut from).await.unwrap_or(0) == 0 => return,
+            match complete_request(&buffer) {
+                Some(request) => break request,
+                None if stream.read_buf(&mut buffer).await.unwrap_or(0) == 0 => return,
                 None => {}
             }
         };
-        drop(from.split_to(length));
-        seen.request.set(seen.request.get().max(length));
-        seen.ran.borrow_mut().push(id.clone());
-        let answer = good(&id);
-        if let (true, Spot::Answer(bytes)) = (first, cut.at) {
-            stream.write_all(&answer[..bytes]).await.expect("somebody waits");
-            return finish(stream, cut.end);
+        drop(buffer.split_to(length));
+        log.longest_request.set(log.longest_request.get().max(length));
+        log.runs.borrow_mut().push(id.clone());
+        let response = response(&id);
+        if let (true, Position::Response(bytes)) = (is_first, disconnect.position) {
+            stream.write_all(&response[..bytes]).await.expect("the gateway reads");
+            return end_connection(stream, disconnect.ending);
         }
-        if (first, cut.at) == (true, Spot::Long) {
-            stream.write_all(&long(&id)).await.expect("somebody waits");
-            return finish(stream, cut.end);
+        if (is_first, disconnect.position) == (true, Position::LongResponse) {
+            stream.write_all(&half_of_long_response(&id)).await.expect("the gateway reads");
+            return end_connection(stream, disconnect.ending);
         }
-        if stream.write_all(&answer).await.is_err() {
+        if stream.write_all(&response).await.is_err() {
             return;
         }
     }
@@ -148,200 +156,219 @@
 fn exchange(
     wheel: &Wheel,
     id: &str,
-    repeat: RetrySafety,
-    patience_ms: f64,
+    retry_safety: RetrySafety,
+    timeout_ms: f64,
 ) -> (Exchange, oneshot::Receiver<Answer<ServerResponse>>) {
     let mut head = BytesMut::from("POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: x\r\n\r\n");
-    let head = read_request_head(&mut head, 4_096).expect("good").expect("whole");
+    let head = read_request_head(&mut head, 4_096).expect("well formed").expect("complete");
     let (reply, answer) = oneshot::channel();
     let exchange = Exchange {
         method: head.method,
         target: head.target,
         headers: head.headers,
-        body: RequestBody::Buffered(Bytes::from_static(BODY)),
+        body: RequestBody::Buffered(Bytes::from_static(REQUEST_BODY)),
         attempt_id: id.to_string(),
         tenant: None,
         unit_valid_until: f64::INFINITY,
         backend: "b".into(),
         home_regions: Rc::new([]),
-        retry_safety: repeat,
+        retry_safety,
         target_latency_ms: 4_000.0,
         max_attempts: 2,
         priority: 0,
         arrived: wheel.now(),
-        timeout_ms: patience_ms,
+        timeout_ms,
         reply,
     };
     (exchange, answer)
 }
 
-/// The body of a good answer; `None`: a failure, or a refusal (`Err`).
-fn told(answer: Answer<ServerResponse>) -> Result<Option<String>, ()> {
+/// The body of a response of status 200; `Ok(None)`: the request failed; `Err`: it was refused.
+fn outcome(answer: Answer<ServerResponse>) -> Result<Option<String>, ()> {
     match answer {
         Answer::Served(ServerResponse { status: 200, body: ResponseBody::Buffered(body), .. }) => {
             Ok(Some(String::from_utf8(body.to_vec()).expect("text")))
         }
-        Answer::Served(_) => panic!("an answer that no server gave"),
+        Answer::Served(_) => panic!("a response that no server sent"),
         Answer::Failed => Ok(None),
         Answer::ShortOnCapacityReply(_) => Err(()),
     }
 }
 
-/// A gateway of its own with two servers that play a cut.
-struct World {
+/// A gateway with two servers, whose first connection ends as the case says.
+struct Fixture {
     proxy: Rc<Proxy>,
     wheel: Wheel,
-    seen: Rc<Seen>,
-    /// Dropped with it: the listeners, and the gateway's turns.
+    log: Rc<ServerLog>,
+    /// The listeners and the proxy's own task; they stop when the fixture is dropped.
     _tasks: JoinSet<()>,
 }
 
-impl World {
-    async fn new(wheel: Wheel, cut: Cut) -> World {
-        let here = Location { name: "g1".into(), zone: "n1".into(), region: "n".into() };
+impl Fixture {
+    async fn new(wheel: Wheel, disconnect: Disconnect) -> Fixture {
+        let location = Location { name: "g1".into(), zone: "n1".into(), region: "n".into() };
         let tuning = ProxyTuning { retry_slack: 1_000, ..ProxyTuning::default() };
-        let proxy = Proxy::new(wheel.clone(), Budget::new(200), here, 7, tuning);
-        let (seen, mut tasks, mut lines) = (Rc::new(Seen::default()), JoinSet::new(), Vec::new());
+        let proxy = Proxy::new(wheel.clone(), Budget::new(200), location, 7, tuning);
+        let (log, mut tasks, mut servers) = (Rc::new(ServerLog::default()), JoinSet::new(), Vec::new());
         tasks.spawn_local(proxy.clone().run());
-        for at in 0..2 {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("bound").to_string();
-            let (id, backend, zone) = (format!("s{at}"), "b".to_string(), "n1".to_string());
+        for number in 0..2 {
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+            let address = listener.local_addr().expect("local address").to_string();
+            let (id, backend, zone) = (format!("s{number}"), "b".to_string(), "n1".to_string());
             let state = ServerState::InService;
-            lines.push(ServerInfo { id, backend, address, zone, slots: 2, state, cold: None });
-            let seen = seen.clone();
+            servers.push(ServerInfo { id, backend, address, zone, slots: 2, state, cold: None });
+            let log = log.clone();
             tasks.spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(serve(stream, seen.clone(), cut));
+                    spawn_local(serve(stream, log.clone(), disconnect));
                 }
             });
         }
         proxy.set_gateway_count(1);
         let backend = BackendConfig { max_connections: 100, warmup_per_s: 0.0 };
         proxy.update_backends(HashMap::from([("b".to_string(), backend)]));
-        proxy.update_servers(&lines, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
-        World { proxy, wheel, seen, _tasks: tasks }
+        proxy.update_servers(&servers, &[], &HashMap::from([("n1".to_string(), "n".to_string())]));
+        Fixture { proxy, wheel, log, _tasks: tasks }
     }
 
-    async fn ask(&self, id: &str, repeat: RetrySafety, patience_ms: f64) -> Answer<ServerResponse> {
-        let (exchange, answer) = exchange(&self.wheel, id, repeat, patience_ms);
+    async fn dispatch(&self, id: &str, retry_safety: RetrySafety, timeout_ms: f64) -> Answer<ServerResponse> {
+        let (exchange, answer) = exchange(&self.wheel, id, retry_safety, timeout_ms);
         self.proxy.dispatch(exchange);
         answer.await.expect("exactly one answer")
     }
 }
 
-/// Plays a cut; the length of the request as a server got it.
-async fn play(wheel: Wheel, cut: Cut) -> usize {
-    let world = World::new(wheel, cut).await;
-    let (seen, proxy) = (world.seen.clone(), world.proxy.clone());
-    let patience_ms = if cut.end == End::Silence { 500.0 } else { 9_000.0 };
-    let began = world.wheel.now();
-    let first = told(world.ask("a", cut.repeat, patience_ms).await);
-    let held_ms = world.wheel.now() - began;
-    assert!(held_ms < patience_ms + LATE_MS, "{cut:?}: held for {held_ms} ms");
+/// Runs a case with a request on the connection that ends early, and another request after it. Returns the length of the
+/// longest request that a server received.
+async fn run_case(wheel: Wheel, case: Disconnect) -> usize {
+    let fixture = Fixture::new(wheel, case).await;
+    let (log, proxy) = (fixture.log.clone(), fixture.proxy.clone());
+    let timeout_ms = if case.ending == Ending::Stall { 500.0 } else { 9_000.0 };
+    let began = fixture.wheel.now();
+    let first = outcome(fixture.dispatch("a", case.retry_safety, timeout_ms).await);
+    let elapsed_ms = fixture.wheel.now() - began;
+    assert!(elapsed_ms < timeout_ms + SCHEDULING_SLACK_MS, "{case:?}: answered after {elapsed_ms} ms");
     let sent = proxy.counts().first_attempts + proxy.counts().further_attempts;
-    let runs = |id: &str| seen.ran.borrow().iter().filter(|ran| *ran == id).count();
-    let fine = |id: &str| Ok(Some(format!("for {id}")));
-    let whole_answer = cut.at == Spot::Answer(good("a").len());
-    match (cut.repeat, cut.end) {
-        _ if whole_answer => assert!(first == fine("a") && runs("a") == 1, "{cut:?}: {first:?}"),
-        // Refused only if nothing of it went out: on a busy machine its time may be over by then.
+    let runs = |id: &str| log.runs.borrow().iter().filter(|run| *run == id).count();
+    let success = |id: &str| Ok(Some(format!("for {id}")));
+    let is_complete = case.position == Position::Response(response("a").len());
+    match (case.retry_safety, case.ending) {
+        _ if is_complete => assert!(first == success("a") && runs("a") == 1, "{case:?}: {first:?}"),
+        // Refused only if no byte of it was sent: on a busy machine its deadline may have passed by then.
         (RetrySafety::AtMostOnce, _) => {
-            let told = if sent == 0 { first.is_err() } else { first == Ok(None) };
+            let expected = if sent == 0 { first.is_err() } else { first == Ok(None) };
             assert!(
-                told && sent <= 1 && runs("a") <= 1,
-                "{cut:?}: {first:?}, {sent} sent, {} runs",
+                expected && sent <= 1 && runs("a") <= 1,
+                "{case:?}: {first:?}, {sent} sent, {} runs",
                 runs("a")
             );
         }
-        // What may run twice may also be refused after it has run.
-        (_, End::Silence) => {
-            assert!(first.is_err() || first == Ok(None) || first == fine("a"), "{cut:?}: {first:?}");
+        // An idempotent request may also be refused after it has run.
+        (_, Ending::Stall) => {
+            assert!(first.is_err() || first == Ok(None) || first == success("a"), "{case:?}: {first:?}");
         }
-        _ => assert!(first == fine("a") && runs("a") <= 2, "{cut:?}: {first:?}"),
+        _ => assert!(first == success("a") && runs("a") <= 2, "{case:?}: {first:?}"),
     }
-    // What is asked next gets its own answer, once, whatever is left of the first.
-    let next = told(world.ask("b", RetrySafety::AtMostOnce, 9_000.0).await);
-    assert!(next == fine("b") && runs("b") == 1, "{cut:?}, then {next:?}");
-    seen.request.get()
+    // The next request gets its own response and runs once, whatever is left of the first.
+    let next = outcome(fixture.dispatch("b", RetrySafety::AtMostOnce, 9_000.0).await);
+    assert!(next == success("b") && runs("b") == 1, "{case:?}, then {next:?}");
+    log.longest_request.get()
 }
 
-/// Plays cuts, some at a time.
-fn all(cuts: &[Cut]) -> usize {
+/// Runs cases, up to 120 of them concurrently. Returns the length of the longest request that a server received.
+fn run_cases(cases: &[Disconnect]) -> usize {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let wheel = Wheel::new(Clock::start());
         spawn_local(wheel.clone().run());
         let mut longest = 0;
-        for some in cuts.chunks(120) {
-            let mut plays = JoinSet::new();
-            some.iter().for_each(|cut| drop(plays.spawn_local(play(wheel.clone(), *cut))));
-            while let Some(request) = plays.join_next().await {
-                longest = longest.max(request.expect("a play"));
+        for batch in cases.chunks(120) {
+            let mut tasks = JoinSet::new();
+            batch.iter().for_each(|case| drop(tasks.spawn_local(run_case(wheel.clone(), *case))));
+            while let Some(request) = tasks.join_next().await {
+                longest = longest.max(request.expect("a case"));
             }
         }
         longest
     })
 }
 
-fn cuts(places: impl Iterator<Item = Spot> + Clone, ends: &[End]) -> Vec<Cut> {
-    let repeats = [RetrySafety::AtMostOnce, RetrySafety::Idempotent];
-    let each = |repeat, end| places.clone().map(move |at| Cut { at, end, repeat });
-    repeats.iter().flat_map(|repeat| ends.iter().flat_map(move |end| each(*repeat, *end))).collect()
+/// The cases of all these positions and endings, for both kinds of retry safety.
+fn combinations(positions: impl Iterator<Item = Position> + Clone, endings: &[Ending]) -> Vec<Disconnect> {
+    let retry_safeties = [RetrySafety::AtMostOnce, RetrySafety::Idempotent];
+    let at_all_positions = |retry_safety, ending| {
+        positions.clone().map(move |position| Disconnect { position, ending, retry_safety })
+    };
+    retry_safeties
+        .iter()
+        .flat_map(|retry_safety| {
+            endings.iter().flat_map(move |ending| at_all_positions(*retry_safety, *ending))
+        })
+        .collect()
 }
 
 #[test]
-fn wherever_a_request_is_cut_it_runs_as_often_as_it_may_and_the_next_gets_its_own_answer() {
-    let whole =
-        all(&[Cut { at: Spot::Answer(good("a").len()), end: End::Close, repeat: RetrySafety::AtMostOnce }]);
-    let places = (0..=whole).map(Spot::Request);
-    let mut played = cuts(places.clone(), &[End::Close, End::Reset]);
-    played.extend(cuts(places.step_by(7), &[End::Silence]));
-    println!("{} cuts of a request of {whole} bytes", played.len());
-    assert!(whole > 100);
-    all(&played);
+fn a_request_that_breaks_off_at_any_byte_runs_no_more_often_than_it_may() {
+    let request_length = run_cases(&[Disconnect {
+        position: Position::Response(response("a").len()),
+        ending: Ending::Close,
+        retry_safety: RetrySafety::AtMostOnce,
+    }]);
+    let positions = (0..=request_length).map(Position::Request);
+    let mut cases = combinations(positions.clone(), &[Ending::Close, Ending::Reset]);
+    cases.extend(combinations(positions.step_by(7), &[Ending::Stall]));
+    println!("{} cases with a request of {request_length} bytes", cases.len());
+    assert!(request_length > 100);
+    run_cases(&cases);
 }
 
 #[test]
-fn wherever_an_answer_is_cut_nobody_gets_a_part_of_it() {
-    let whole = good("a").len();
-    let places = (0..=whole).map(Spot::Answer);
-    let mut played = cuts(places.clone(), &[End::Close, End::Reset]);
-    // After the whole answer the server is free to say nothing to the next request.
-    played.extend(cuts(places.take(whole), &[End::Silence]));
-    println!("{} cuts of an answer of {whole} bytes", played.len());
-    all(&played);
+fn no_part_of_a_response_that_breaks_off_at_any_byte_reaches_a_client() {
+    let response_length = response("a").len();
+    let positions = (0..=response_length).map(Position::Response);
+    let mut cases = combinations(positions.clone(), &[Ending::Close, Ending::Reset]);
+    // Without the position after the complete response: a server may stall on the next request then.
+    cases.extend(combinations(positions.take(response_length), &[Ending::Stall]));
+    println!("{} cases with a response of {response_length} bytes", cases.len());
+    run_cases(&cases);
 }
 
 #[test]
-fn a_long_answer_that_stalls_or_breaks_ends_visibly_and_with_its_time() {
-    let cuts = cuts([Spot::Long].into_iter(), &[End::Close, End::Reset, End::Silence]);
+fn a_long_response_that_breaks_off_or_stalls_ends_visibly_and_by_its_deadline() {
+    let cases =
+        combinations([Position::LongResponse].into_iter(), &[Ending::Close, Ending::Reset, Ending::Stall]);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let wheel = Wheel::new(Clock::start());
         spawn_local(wheel.clone().run());
-        for cut in cuts {
-            let world = World::new(wheel.clone(), cut).await;
-            let (began, patience_ms) = (wheel.now(), 1_000.0);
+        for case in cases {
+            let fixture = Fixture::new(wheel.clone(), case).await;
+            let (began, timeout_ms) = (wheel.now(), 1_000.0);
             let Answer::Served(ServerResponse { body: ResponseBody::Streamed(mut body), .. }) =
-                world.ask("a", cut.repeat, patience_ms).await
+                fixture.dispatch("a", case.retry_safety, timeout_ms).await
             else {
-                panic!("{cut:?}: a streamed answer")
+                panic!("{case:?}: the response is not streamed")
             };
-            let mut ended = false;
+            let mut complete = false;
             while let Some(part) = body.parts.recv().await {
-                ended |= part == BodyPart::End;
+                complete |= part == BodyPart::End;
             }
-            let held_ms = wheel.now() - began;
-            assert!(!ended && held_ms < patience_ms + LATE_MS, "{cut:?}: {ended}, held for {held_ms} ms");
-            assert!(cut.end != End::Silence || held_ms >= patience_ms - 50.0, "{cut:?}: {held_ms}");
-            world.proxy.wait_until_idle().await;
+            let elapsed_ms = wheel.now() - began;
+            assert!(
+                !complete && elapsed_ms < timeout_ms + SCHEDULING_SLACK_MS,
+                "{case:?}: complete: {complete}, ended after {elapsed_ms} ms"
+            );
+            assert!(
+                case.ending != Ending::Stall || elapsed_ms >= timeout_ms - 50.0,
+                "{case:?}: ended after {elapsed_ms} ms"
+            );
+            fixture.proxy.wait_until_idle().await;
             assert_eq!(
-                told(world.ask("b", RetrySafety::AtMostOnce, 9_000.0).await),
+                outcome(fixture.dispatch("b", RetrySafety::AtMostOnce, 9_000.0).await),
                 Ok(Some("for b".into())),
-                "{cut:?}"
+                "{case:?}"
             );
-            assert_eq!(world.seen.ran.borrow()[..], ["a", "b"], "{cut:?}");
+            assert_eq!(fixture.log.runs.borrow()[..], ["a", "b"], "{case:?}");
         }
     });
 }
