--- a/crates/replica/src/effects.rs
+++ b/crates/replica/src/effects.rs
@@ -1,4 +1,4 @@
-//! What comes out of the machine.
+//! Effects of the state machine, for its driver to carry out.
 
 use crate::membership::{MembershipError, MembershipRequest};
 use crate::state::{Outcome, Trial};
@@ -6,91 +6,93 @@
 use nickeljunction_messages::{ClaimAnswer, LeaderRedirect, ServerState, UnitsAnswer};
 use nickeljunction_registry::WatchCache;
 
-/// Names a call that waits for its answer.
+/// Identifies a call that waits for its answer.
 pub type Ticket = u64;
 
-/// What is to be done, in the order that the crate's page names.
+/// What the driver has to do. The crate's documentation gives the order.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Messages, each to a host; one that gets lost harms nothing.
+    /// Messages by destination host. The protocol tolerates their loss.
     pub send: Vec<(String, Envelope)>,
-    /// To be written and synced, one after the other.
+    /// To be written and synced one after the other.
     pub writes: Vec<Write>,
-    /// To callers that wait.
+    /// Answers to waiting callers.
     pub answers: Vec<(Ticket, Answer)>,
-    /// Held watch calls and rounds are to look again.
+    /// Held watch calls and pending acknowledgements have to be checked again.
     pub changed: bool,
-    /// [`crate::Replica::next_wake`] may have come nearer.
+    /// [`crate::Replica::next_wake`] may be earlier than before.
     pub wake_changed: bool,
-    /// To be kept on the machine for a next process, without a sync.
+    /// To be saved on this machine for its next process; needs no sync.
     pub watch_cache_to_save: Option<WatchCache>,
-    /// In the order in which they came.
+    /// In the order in which they occurred.
     pub events: Vec<Event>,
-    /// Entries that were applied, in the log's order: for who checks what the machine does.
+    /// Entries that were applied, in the log's order; for checks of the state machine.
     pub applied: Vec<Entry>,
 }
 
-/// The answer to a call that waited for the agreement.
+/// The answer to a call that waited for consensus.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// To a read: a majority has confirmed the lead since it came, and [`crate::Replica::state`] may be told.
+    /// To a read: a majority has confirmed this member as leader since the call, so [`crate::Replica::state`] is current.
     Confirmed,
-    /// To counted adds.
+    /// To a request for units.
     Units(UnitsAnswer),
     /// To a claim of a keyed operation.
     Claim(ClaimAnswer),
-    /// In force, and on a majority's disks.
+    /// It is in force, and on a majority's disks.
     Accepted,
-    /// What the change builds on is not in force: this version is, or another change came first on the log.
+    /// The change builds on a version that is not in force. `Some`: this version is; `None`: another change was applied
+    /// first.
     Conflict(Option<u64>),
-    /// An order on the core's members can't be carried out as things are.
+    /// The change of the core's membership is refused in the current state.
     MembershipRefused(MembershipError),
-    /// It can't be taken; what is wanted.
+    /// The call is invalid; the text says what is expected.
     Invalid(String),
-    /// What it names isn't there; what is wanted.
+    /// The call names something that does not exist; the text says what is expected.
     NotFound(String),
-    /// Whether it will be taken is not known: it is to be repeated unchanged.
+    /// It is not known whether the call will be accepted: the caller has to repeat it unchanged.
     Unknown,
-    /// Whether it was taken is not known any more: this version is as old as what was forgotten.
+    /// It is no longer known whether the change was accepted: its version is as old as the changes that are no longer
+    /// remembered.
     Forgotten(u64),
-    /// This member doesn't lead, or is not sure of it.
+    /// This member doesn't lead, or can't be sure that it still does.
     NotLeader(LeaderRedirect),
 }
 
-/// What operators may want to know.
+/// What is logged for operators.
 #[derive(Debug, Clone, PartialEq)]
-#[allow(missing_docs)] // The names tell: term, life (a process's id), index on the log, counts.
+#[allow(missing_docs)] // The names of the fields are clear by themselves.
 pub enum Event {
-    /// It leads, from this many servers and gateways and with this version of the configuration.
+    /// This member leads from now on, with this many known servers and gateways and this version of the configuration.
     LeadBegun { term: u64, version: u64, servers: usize, gateways: u32, logged_gateways: usize, held_ms: u64 },
-    /// It leads no more.
+    /// This member no longer leads.
     LeadEnded { term: u64 },
-    /// A server was not heard of for too long.
+    /// A server's heartbeats are missing.
     ServerSilent { id: String },
-    /// A server came, or says something else than before.
+    /// A server registered, or its heartbeat differs from the one before.
     ServerChanged { id: String, backend: String, zone: String, state: ServerState, warmup_left_ms: u64 },
-    /// A server says that it is gone.
+    /// A server reported that it has ended.
     ServerGone { id: String },
-    /// A gateway hung up.
+    /// A gateway closed its last watch call.
     GatewayDisconnected { name: String },
-    /// The list of gateways' processes is to change: names of those that come, count of those that go.
+    /// A change of the list of gateway processes was proposed: names of the added ones, count of the removed ones.
     GatewaysEnrolled { added: Vec<String>, removed: usize },
-    /// An operator's change was decided on, or not in time.
+    /// An operator's change of the configuration was decided; `None`: it was not decided in time.
     ConfigChange { patch: bool, base: u64, version: u64, outcome: Option<Outcome> },
-    /// An order on the core's members was put on the log, or not in time.
+    /// An operator's change of the membership was decided; `None`: it was not decided in time.
     MembershipOrder { request: MembershipRequest, outcome: Option<Outcome> },
-    /// A zone was evacuated, or taken back.
+    /// A zone's evacuation began or ended.
     Evacuation { zone: String, ended: bool },
-    /// A tenant's trial changed, as it stands now.
+    /// A tenant's trial changed to this state.
     Trial { tenant: String, trial: Trial },
-    /// The log takes nothing more at the moment.
+    /// The log accepts no further entries at the moment.
     ProposalRefused { error: String },
-    /// A snapshot that this program didn't write, though the disk has checked it.
+    /// A snapshot can't be parsed although its checksum on the disk is right.
     SnapshotUnreadable { index: u64, error: String },
-    /// The same of an entry.
+    /// An entry can't be parsed although its checksum on the disk is right.
     EntryUnreadable { index: u64, error: String },
-    /// The entry made another document here than where it was proposed: this member's state isn't the log's any more.
+    /// An entry produced another document here than at its proposer: this member's state no longer matches the log.
     Diverged { index: u64, version: u64 },
-    /// It goes on from the leader's state, which holds all up to this entry.
+    /// This member continues from the leader's state, which includes all entries up to this index.
     StateTransferred { last_index: u64 },
 }
--- a/crates/replica/src/leader.rs
+++ b/crates/replica/src/leader.rs
@@ -1,10 +1,10 @@
-//! What only a leader has and does: registers, counter, and who is answered by its lease.
+//! The leader's part of a member: the register, the quota counter, and the calls that it answers by its lease.
 
 use crate::departures::{Departure, DepartureLog};
 use crate::effects::{Event, Ticket};
-use crate::pending_calls::Proposed;
+use crate::pending_calls::Proposal;
 use crate::replica::Replica;
-use crate::trials::LapsedTrials;
+use crate::trials::TrialTracker;
 use nickeljunction_messages::{
     Caller, LeaderRedirect, ServerState, StateTransfer, UnitsAnswer, UnitsCall, VersionedConfig, WatchAnswer,
     WatchCall,
@@ -16,114 +16,116 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Longest hold of a watch call, ms.
-const MOST_HOLD_MS: u64 = 5_000;
-/// What may wait, see [`Register::has_urgent_changes`], is told to a caller no sooner than so long after its call, ms: while a fleet
-/// starts, gateways and servers come one by one, and each answer costs a call.
-const TOGETHER_MS: u64 = 250;
-/// How long an acknowledgement waits for the gateways that are there to know the change, ms.
-const ROUND_MS: u64 = 250;
-/// How long it waits for the change to be on the agreed log, ms: a server that is told that it may leave must not be sent to
-/// by a successor who never heard of it, so without that there is no acknowledgement. A server takes another member after a
+/// Longest time for which a watch call is held, ms.
+const MAX_WATCH_HOLD_MS: u64 = 5_000;
+/// Changes that are not urgent ([`Register::has_urgent_changes`]) are not sent before this time after the watch call, ms:
+/// while a fleet starts, gateways and servers register one by one, and each answer costs another call.
+const BATCHING_DELAY_MS: u64 = 250;
+/// How long an acknowledgement waits until the connected gateways have the change, ms.
+const PROPAGATION_TIMEOUT_MS: u64 = 250;
+/// How long an acknowledgement waits until the change is committed, ms. Without that there is no acknowledgement: a later
+/// leader without the entry would route to a server that was told that it may leave. A server tries another member after a
 /// second.
-const LOGGED_MS: u64 = 700;
-/// Watch calls that say what their sender has don't count as changes: a round looks again so soon, ms.
-const LOOK_MS: u64 = 10;
+const LOG_TIMEOUT_MS: u64 = 700;
+/// Interval at which a pending acknowledgement is checked, ms: watch calls, by which gateways report what they have, don't
+/// count as changes.
+const ACK_POLL_MS: u64 = 10;
 
-/// What only a leader has.
+/// State that only a leader has.
 #[derive(Debug)]
 pub(crate) struct Lead {
     pub term: u64,
     pub register: Register,
     pub counter: Counter,
-    pub tides: LapsedTrials,
-    /// Version of the configuration that `register` and `counter` know.
+    pub trials: TrialTracker,
+    /// Version of the configuration that `register` and `counter` have.
     pub version: u64,
-    /// The counter's wish to forget lives is on its way to the log.
-    pub forgets: bool,
-    /// Servers that leave, on their way to the log.
+    /// An entry that removes gateway processes is in flight.
+    pub forget_in_flight: bool,
+    /// Departures of servers that are not on the log yet.
     pub departures: DepartureLog,
-    /// Ages of generations of keyed operations.
+    /// Ages of the generations of keyed operations.
     pub generations: GenerationClock,
-    /// What is due of them is on its way to the log.
-    pub generations_under_way: bool,
-    /// Watch calls under way, by the life of their sender: one of them that breaks says nothing while others are there.
-    watching: BTreeMap<u64, u32>,
+    /// An entry that closes or forgets generations is in flight.
+    pub generations_in_flight: bool,
+    /// Number of open watch calls by their sender's process: only the end of the last one means that the sender is gone.
+    open_watches: BTreeMap<u64, u32>,
 }
 
 impl Lead {
-    /// A watch call of this life has ended; true where it was the last one.
-    fn unwatched(&mut self, life: u64) -> bool {
-        let left = self.watching.get(&life).map_or(0, |count| count.saturating_sub(1));
+    /// Records the end of a watch call of this process; true if it was the last one.
+    fn watch_ended(&mut self, incarnation: u64) -> bool {
+        let left = self.open_watches.get(&incarnation).map_or(0, |count| count.saturating_sub(1));
         match left {
-            0 => drop(self.watching.remove(&life)),
-            left => drop(self.watching.insert(life, left)),
+            0 => drop(self.open_watches.remove(&incarnation)),
+            left => drop(self.open_watches.insert(incarnation, left)),
         }
         left == 0
     }
 }
 
-/// What became of a call for units.
+/// The reply to a request for units.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UnitsReply {
-    /// Its answer.
+    /// The request is answered at once.
     Immediate(UnitsAnswer),
-    /// The caller's process goes on the log first; the answer comes by this ticket.
+    /// The caller's process is put on the log first; [`crate::Answer::Units`] follows by this ticket.
     Pending(Ticket),
 }
 
-/// A watch call that is held.
+/// A watch call that is held until there is something to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldWatch {
-    /// Its sender is to come again with its line, or was replaced: nothing to hold it for.
-    brief: bool,
-    /// Before that it is only answered with what must not wait, so that what comes bit by bit is told together.
-    together_at: u64,
+    /// The sender has to call again with its own entry of the register, or another process replaced it: there is no reason
+    /// to hold the call.
+    answer_now: bool,
+    /// Before this time only urgent changes are sent, so that small changes are sent together.
+    batch_until: u64,
     end: u64,
-    /// Of the leader that holds it.
+    /// Term of the leader that holds the call.
     term: u64,
 }
 
 impl HeldWatch {
-    /// By then it is answered, whether there is something new or not.
+    /// The time by which the call is answered even if nothing has changed.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// When it is to look again, where nothing changes before.
+    /// When to check again if nothing changes before.
     pub fn next_check_at(&self, now: u64) -> u64 {
-        if now < self.together_at {
-            self.together_at
+        if now < self.batch_until {
+            self.batch_until
         } else {
             self.end
         }
     }
 }
 
-/// An acknowledgement that waits until a change has come round.
+/// An acknowledgement that waits until its change is committed and gateways have it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingAck {
-    /// Of the leader that waits.
+    /// Term of the leader that owes the acknowledgement.
     term: u64,
-    /// Number of the change in its register.
+    /// Number of the change in that leader's register.
     seq: u64,
-    /// Number of the departure that is to be on the log.
+    /// Number of the departure that has to be committed; 0: none.
     departure: u64,
-    /// Gateways are waited for until then.
+    /// Deadline for the gateways.
     gateways_until: u64,
-    /// The log is waited for until then.
+    /// Deadline for the log.
     logged_until: u64,
 }
 
 impl PendingAck {
-    /// When it is to look again, where nothing changes before.
+    /// When to check again if nothing changes before.
     pub fn next_check_at(&self, now: u64) -> u64 {
         let next = if now < self.gateways_until { self.gateways_until } else { self.logged_until };
-        next.clamp(now + 1, now + LOOK_MS)
+        next.clamp(now + 1, now + ACK_POLL_MS)
     }
 }
 
-/// Units that a document allows each tenant with a limit, by the rules' figures.
+/// The quota limit of each tenant that has one, by a document and the configured bounds.
 pub fn quota_limits(doc: &serde_json::Value, bounds: &Bounds) -> BTreeMap<String, Limit> {
     Document::view(doc).map(|config| limits_of(&config, bounds)).unwrap_or_default()
 }
@@ -139,122 +141,129 @@
 }
 
 impl Replica {
-    pub(crate) fn take_or_leave_lead(&mut self, now: u64) {
-        let term = self.book.term();
-        if !self.book.ready() {
+    /// Takes up or gives up the leader's state as consensus requires.
+    pub(crate) fn update_lead(&mut self, now: u64) {
+        let term = self.consensus.term();
+        if !self.consensus.ready() {
             if let Some(lead) = self.lead.take() {
-                self.out.events.push(Event::LeadEnded { term: lead.term });
-                // What it knew is what the next leader starts from, which may be this very member: one whose majority
-                // was away for seconds would else begin with an empty register.
-                let ask = self.copy.watch_call(Caller::Core, &self.place.name, 0, None, 0);
-                if let Some(answer) = lead.register.answer(now, &ask, 0) {
-                    let _ = self.copy.apply(answer);
+                self.effects.events.push(Event::LeadEnded { term: lead.term });
+                // The next leader may be this same member, for example after its majority was unreachable for seconds.
+                // Without this copy it would start with an empty register.
+                let call = self.watch_cache.watch_call(Caller::Core, &self.member_config.name, 0, None, 0);
+                if let Some(answer) = lead.register.answer(now, &call, 0) {
+                    let _ = self.watch_cache.apply(answer);
                 }
-                self.out.changed = true;
-                self.hand_over_claims();
+                self.effects.changed = true;
+                self.redirect_waiting_claims();
             }
             return;
         }
         if self.lead.as_ref().is_some_and(|lead| lead.term == term) {
             return;
         }
-        let tuning = nickeljunction_registry::Tuning::new(self.place.heartbeat_ms, self.place.zones.clone());
-        let copy = std::mem::take(&mut self.copy);
+        let tuning = nickeljunction_registry::Tuning::new(
+            self.member_config.heartbeat_ms,
+            self.member_config.zones.clone(),
+        );
+        let copy = std::mem::take(&mut self.watch_cache);
         let departures = self.state.departures();
-        let window = (self.place.bounds.quota_window_s * 1_000.0) as u64;
+        let window = (self.member_config.bounds.quota_window_s * 1_000.0) as u64;
         let logged = self.state.gateways().clone();
-        let known = logged.len();
+        let logged_gateways = logged.len();
         let counter = Counter::new(now, term, nickeljunction_quota::Tuning::new(window), logged);
         let mut register = Register::new(now, tuning, term, Some(copy));
         register.apply_departures(now, departures.draining(), departures.ended());
-        self.out.events.push(Event::LeadBegun {
+        self.effects.events.push(Event::LeadBegun {
             term,
             version: self.state.version(),
             servers: register.server_count(),
             gateways: register.gateway_count(),
-            logged_gateways: known,
+            logged_gateways,
             held_ms: counter.takeover_ms(),
         });
         self.lead = Some(Lead {
             term,
             register,
             counter,
-            tides: LapsedTrials::default(),
+            trials: TrialTracker::default(),
             version: 0,
-            forgets: false,
+            forget_in_flight: false,
             departures: DepartureLog::default(),
-            generations: GenerationClock::new((self.place.bounds.key_window_s * 1_000.0).ceil() as u64),
-            generations_under_way: false,
-            watching: BTreeMap::new(),
+            generations: GenerationClock::new(
+                (self.member_config.bounds.key_window_s * 1_000.0).ceil() as u64
+            ),
+            generations_in_flight: false,
+            open_watches: BTreeMap::new(),
         });
         self.publish(now);
-        self.out.changed = true;
+        self.effects.changed = true;
     }
 
-    /// Tells registers and counter what the log says.
+    /// Brings the register and the counter up to date with the replicated state.
     pub(crate) fn publish(&mut self, now: u64) {
         if self.lead.is_none() {
             return;
         }
         let config = self.config();
-        self.publish_tides(now);
+        self.publish_trials(now);
         let Some(lead) = &mut self.lead else { return };
         lead.register.set_evacuated_zones(now, self.state.evacuated().clone());
-        lead.register.set_core_hosts(self.book.members().iter().map(|member| member.host.clone()).collect());
+        lead.register
+            .set_core_hosts(self.consensus.members().iter().map(|member| member.host.clone()).collect());
         lead.counter.set_logged_processes(self.state.gateways());
         let version = self.state.version();
         if version > lead.version {
             lead.version = version;
-            lead.counter.set_limits(now, &limits_of(&config, &self.place.bounds));
-            let line = Rc::new(VersionedConfig { version, document: self.state.doc().clone() });
-            lead.register.set_config(line, self.state.document_digest(), self.changes.clone());
+            lead.counter.set_limits(now, &limits_of(&config, &self.member_config.bounds));
+            let config = Rc::new(VersionedConfig { version, document: self.state.doc().clone() });
+            lead.register.set_config(config, self.state.document_digest(), self.changes.clone());
         }
     }
 
-    /// Ages the registers and the counter.
-    pub(crate) fn age(&mut self, now: u64) {
+    /// Expires what is old in the register, the counter, the departures and the generations.
+    pub(crate) fn tick_lead(&mut self, now: u64) {
         let Some(lead) = &mut self.lead else { return };
         let before = lead.register.seq();
         let silent = lead.register.tick(now);
-        self.out.events.extend(silent.into_iter().map(|id| Event::ServerSilent { id }));
-        self.out.changed |= lead.register.seq() != before;
-        let forget = if lead.forgets { None } else { lead.counter.removable_processes(now) };
-        if let Some(roll) = forget {
-            lead.forgets = true;
-            self.forget(now, roll);
+        self.effects.events.extend(silent.into_iter().map(|id| Event::ServerSilent { id }));
+        self.effects.changed |= lead.register.seq() != before;
+        let removable = if lead.forget_in_flight { None } else { lead.counter.removable_processes(now) };
+        if let Some(change) = removable {
+            lead.forget_in_flight = true;
+            self.forget_processes(now, change);
         }
-        self.age_departures(now);
-        self.age_generations(now);
+        self.maintain_departures(now);
+        self.maintain_generations(now);
     }
 
-    /// Does something with the registers and the counter, if this member surely leads; with the lease's age.
+    /// Runs `act` on the leader's state, with the age of the lease, if this member surely leads.
     pub(crate) fn with_lead<R>(
         &mut self,
         now: u64,
         act: impl FnOnce(&mut Lead, u64) -> R,
     ) -> Result<R, LeaderRedirect> {
-        // A leader that was frozen or cut off may have a successor by now: it must not answer as one.
-        let age = self.book.quorum_age(now).filter(|age| *age < self.lease_ms);
+        // A leader that was suspended or cut off may already have a successor, so it must not answer as the leader.
+        let age = self.consensus.quorum_age(now).filter(|age| *age < self.lease_ms);
         let (Some(age), Some(lead)) = (age, &mut self.lead) else { return Err(self.leader_redirect()) };
         let before = lead.register.seq();
         let result = act(lead, age);
-        self.out.changed |= lead.register.seq() != before;
+        self.effects.changed |= lead.register.seq() != before;
         Ok(result)
     }
 
-    /// Counted adds of a gateway. A process that is new is put on the log first: nobody has units whom a later leader
-    /// would not know of.
+    /// A gateway requests units. A new gateway process is put on the log first, so that a later leader knows every process
+    /// that may hold units.
     ///
     /// # Errors
-    /// This member doesn't lead, or is not sure of it.
+    /// This member doesn't lead, or can't be sure that it still does.
     pub fn request_units(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsReply, LeaderRedirect> {
         match self.with_lead(now, |lead, _| lead.counter.enrollment_for(now, call))? {
-            Some(roll) => Ok(UnitsReply::Pending(self.enroll_first(now, roll, call.clone()))),
+            Some(change) => Ok(UnitsReply::Pending(self.enroll_before_lending(now, change, call.clone()))),
             None => self.lend(now, call).map(UnitsReply::Immediate),
         }
     }
 
-    /// The same, once the process is on the log.
+    /// Answers a request for units once the new process is on the log.
     pub(crate) fn lend_to_new(&mut self, now: u64, call: &UnitsCall) -> Result<UnitsAnswer, LeaderRedirect> {
         self.with_lead(now, |lead, _| lead.counter.enrollment_committed(call.incarnation))?;
         self.lend(now, call)
@@ -271,67 +280,69 @@
         })
     }
 
-    /// A watch call came.
+    /// Registers a watch call, which is then held until [`Replica::answer_watch`] gives its answer.
     ///
     /// # Errors
-    /// As all here.
+    /// This member doesn't lead, or can't be sure that it still does.
     pub fn begin_watch(&mut self, now: u64, call: &WatchCall) -> Result<HeldWatch, LeaderRedirect> {
         let (seen, term) = self.with_lead(now, |lead, _| {
-            *lead.watching.entry(call.incarnation).or_default() += 1;
+            *lead.open_watches.entry(call.incarnation).or_default() += 1;
             (lead.register.record_watch_call(now, call), lead.term)
         })?;
-        let brief = matches!(seen, CallOutcome::MissingLine | CallOutcome::ReplacedProcess);
-        let end = now + call.wait_ms.min(MOST_HOLD_MS);
-        Ok(HeldWatch { brief, together_at: end.min(now + TOGETHER_MS), end, term })
+        let answer_now = matches!(seen, CallOutcome::MissingLine | CallOutcome::ReplacedProcess);
+        let end = now + call.wait_ms.min(MAX_WATCH_HOLD_MS);
+        Ok(HeldWatch { answer_now, batch_until: end.min(now + BATCHING_DELAY_MS), end, term })
     }
 
-    /// What a watch call gets now; `None`: it is to look again after a change, or at its end.
+    /// The answer to a held watch call; `None`: check again after a change or at [`HeldWatch::next_check_at`].
     ///
     /// # Errors
-    /// As all here.
+    /// This member doesn't lead, or can't be sure that it still does.
     pub fn answer_watch(
         &mut self,
         now: u64,
         call: &WatchCall,
         held: &HeldWatch,
     ) -> Result<Option<WatchAnswer>, LeaderRedirect> {
-        let last = held.brief || now >= held.end || call.diverged;
+        let must_answer = held.answer_now || now >= held.end || call.diverged;
         let answer = self.with_lead(now, |lead, age| {
-            if !last && now < held.together_at && !lead.register.has_urgent_changes(call) {
+            if !must_answer && now < held.batch_until && !lead.register.has_urgent_changes(call) {
                 return None;
             }
-            let news = lead.register.answer(now, call, age);
-            news.or_else(|| last.then(|| lead.register.empty_answer(age)))
+            let changes = lead.register.answer(now, call, age);
+            changes.or_else(|| must_answer.then(|| lead.register.empty_answer(age)))
         });
         if !matches!(answer, Ok(None)) {
-            self.unwatched(call, held);
+            self.watch_ended(call, held);
         }
-        let restated =
-            call.diverged.then(|| StateTransfer { last_index: self.applied, state: self.state.to_text() });
-        Ok(answer?.map(|answer| WatchAnswer { state_transfer: restated, ..answer }))
+        let state_transfer = call
+            .diverged
+            .then(|| StateTransfer { last_index: self.applied_index, state: self.state.to_text() });
+        Ok(answer?.map(|answer| WatchAnswer { state_transfer, ..answer }))
     }
 
-    /// A watch call has ended; true where its sender has no other one here.
-    fn unwatched(&mut self, call: &WatchCall, held: &HeldWatch) -> bool {
+    /// Records the end of a watch call; true if its sender has no other one here.
+    fn watch_ended(&mut self, call: &WatchCall, held: &HeldWatch) -> bool {
         let lead = self.lead.as_mut().filter(|lead| lead.term == held.term);
-        lead.is_some_and(|lead| lead.unwatched(call.incarnation))
+        lead.is_some_and(|lead| lead.watch_ended(call.incarnation))
     }
 
-    /// The caller of a held watch call went away before its answer. Its sender is gone where that was its last one.
+    /// The caller of a held watch call disconnected before the answer. If it was the sender's last watch call, the sender
+    /// counts as gone.
     pub fn watch_disconnected(&mut self, now: u64, call: &WatchCall, held: &HeldWatch) {
-        // Whoever leads by then has a watch of its own.
-        if self.unwatched(call, held) && call.caller == Caller::Gateway {
-            self.out.events.push(Event::GatewayDisconnected { name: call.name.clone() });
+        // A leader of another term counts its own watch calls.
+        if self.watch_ended(call, held) && call.caller == Caller::Gateway {
+            self.effects.events.push(Event::GatewayDisconnected { name: call.name.clone() });
             let _ = self.with_lead(now, |lead, _| {
                 lead.register.gateway_disconnected(now, &call.name, call.incarnation)
             });
         }
     }
 
-    /// A server says that it lives. It is acknowledged at once, or after a round.
+    /// A server's heartbeat; `None`: it is acknowledged at once.
     ///
     /// # Errors
-    /// As all here.
+    /// This member doesn't lead, or can't be sure that it still does.
     pub fn record_heartbeat(
         &mut self,
         now: u64,
@@ -340,7 +351,7 @@
     ) -> Result<Option<PendingAck>, LeaderRedirect> {
         let outcome = self.with_lead(now, |lead, _| lead.register.record_heartbeat(now, id, beat))?;
         if matches!(outcome.kind, HeartbeatKind::Registered | HeartbeatKind::Changed) {
-            self.out.events.push(Event::ServerChanged {
+            self.effects.events.push(Event::ServerChanged {
                 id: id.into(),
                 backend: beat.backend.clone(),
                 zone: beat.zone.clone(),
@@ -351,35 +362,35 @@
         if beat.state == ServerState::Draining {
             let departure = Departure::Draining { call_seq: beat.call_seq };
             let departure = (outcome.kind != HeartbeatKind::Stale).then_some(departure);
-            return self.begin_round(now, id, outcome.seq, departure).map(Some);
+            return self.start_ack(now, id, outcome.seq, departure).map(Some);
         }
-        self.note_return(now, id, beat);
+        self.record_return_to_service(now, id, beat);
         Ok(None)
     }
 
-    /// A server that drained says that it serves.
-    fn note_return(&mut self, now: u64, id: &str, beat: &Heartbeat) {
-        let said = self.state.departures().draining().get(id);
-        let is_later = said.is_some_and(|call_seq| *call_seq < beat.call_seq);
+    /// Withdraws the departure of a draining server whose later heartbeat says that it is in service.
+    fn record_return_to_service(&mut self, now: u64, id: &str, beat: &Heartbeat) {
+        let draining_since = self.state.departures().draining().get(id);
+        let is_later = draining_since.is_some_and(|call_seq| *call_seq < beat.call_seq);
         let Some(lead) = self.lead.as_mut().filter(|_| is_later) else { return };
         if lead.register.server_state(id) == Some(ServerState::InService) {
             lead.departures.record_return(id);
-            self.log_departures(now);
+            self.flush_departures(now);
         }
     }
 
-    /// A server says that it is gone. It is acknowledged after a round.
+    /// A server reports that its process ends.
     ///
     /// # Errors
-    /// As all here.
+    /// This member doesn't lead, or can't be sure that it still does.
     pub fn remove_server(&mut self, now: u64, id: &str) -> Result<PendingAck, LeaderRedirect> {
         let seq = self.with_lead(now, |lead, _| lead.register.remove_server(now, id))?;
-        self.out.events.push(Event::ServerGone { id: id.into() });
-        self.begin_round(now, id, seq, Some(Departure::Ended))
+        self.effects.events.push(Event::ServerGone { id: id.into() });
+        self.start_ack(now, id, seq, Some(Departure::Ended))
     }
 
-    /// Puts a departure on its way to the log and to the gateways.
-    fn begin_round(
+    /// Starts to distribute a change to the log and to the gateways.
+    fn start_ack(
         &mut self,
         now: u64,
         id: &str,
@@ -389,64 +400,69 @@
         let Some(lead) = &mut self.lead else { return Err(self.leader_redirect()) };
         let logged = self.state.departures();
         let number = departure.map_or(0, |departure| lead.departures.record(id, departure, logged));
-        let round = PendingAck {
+        let pending = PendingAck {
             term: lead.term,
             seq,
             departure: number,
-            gateways_until: now + ROUND_MS,
-            logged_until: now + LOGGED_MS,
+            gateways_until: now + PROPAGATION_TIMEOUT_MS,
+            logged_until: now + LOG_TIMEOUT_MS,
         };
-        self.log_departures(now);
-        Ok(round)
+        self.flush_departures(now);
+        Ok(pending)
     }
 
-    /// Puts the departures that wait on the log, where none is on its way there.
-    fn log_departures(&mut self, now: u64) {
+    /// Proposes the waiting departures unless an entry is in flight.
+    fn flush_departures(&mut self, now: u64) {
         self.propose_departures(now);
-        self.turn(now, |_| ());
+        self.advance(now, |_| ());
     }
 
-    /// The same, to be followed by a turn.
+    /// As [`Replica::flush_departures`], but the caller has to call [`Replica::advance`].
     fn propose_departures(&mut self, now: u64) {
         let Some(entry) = self.lead.as_mut().and_then(|lead| lead.departures.next_entry()) else { return };
-        self.propose_own(now, &entry, Proposed::Departures);
+        self.propose_own(now, &entry, Proposal::Departures);
     }
 
-    /// What became of the entry of departures.
+    /// Takes the result of an entry of departures.
     pub(crate) fn departures_settled(&mut self, now: u64, is_logged: bool) {
         let Some(lead) = &mut self.lead else { return };
         lead.departures.entry_settled(is_logged);
-        self.out.changed = true;
-        // A log that takes nothing at the moment is tried again with the next beat or tick.
+        self.effects.changed = true;
+        // If the entry failed, the next heartbeat or tick tries again.
         if is_logged {
             self.propose_departures(now);
         }
     }
 
-    /// Has departures forgotten that are old, and tries again what the log didn't take.
-    fn age_departures(&mut self, now: u64) {
+    /// Forgets old departures, and proposes again those whose entry failed.
+    fn maintain_departures(&mut self, now: u64) {
         let Some(lead) = &mut self.lead else { return };
         let register = &lead.register;
         lead.departures.forget_old(now, self.state.departures(), |id| register.server_state(id).is_some());
-        self.log_departures(now);
+        self.flush_departures(now);
     }
 
-    /// Whether a round is over: the change is on the log, and all gateways that are there have it or were waited for long
-    /// enough.
+    /// Whether the acknowledgement can be sent: the change is committed, and all connected gateways have it or had enough
+    /// time.
     ///
     /// # Errors
-    /// As all here, and where the log doesn't have it in time: whoever leads next might never hear of it.
-    pub fn ack_ready(&mut self, now: u64, round: &PendingAck) -> Result<bool, LeaderRedirect> {
-        let (reach, term, is_logged) = self.with_lead(now, |lead, _| {
-            (lead.register.propagation(now, round.seq), lead.term, lead.departures.is_logged(round.departure))
+    /// This member doesn't lead, or can't be sure that it still does, or the change was not committed in time: the next
+    /// leader might never have it.
+    pub fn ack_ready(&mut self, now: u64, pending: &PendingAck) -> Result<bool, LeaderRedirect> {
+        let (propagation, term, is_logged) = self.with_lead(now, |lead, _| {
+            (
+                lead.register.propagation(now, pending.seq),
+                lead.term,
+                lead.departures.is_logged(pending.departure),
+            )
         })?;
-        // Another lead of this member has other numbers.
-        if term != round.term {
+        // Another term of this member has its own numbers.
+        if term != pending.term {
             return Err(self.leader_redirect());
         }
         if !is_logged {
-            return if now >= round.logged_until { Err(self.leader_redirect()) } else { Ok(false) };
+            return if now >= pending.logged_until { Err(self.leader_redirect()) } else { Ok(false) };
         }
-        Ok(reach.gateways >= reach.connected_gateways || now >= round.gateways_until)
+        Ok(propagation.gateways >= propagation.connected_gateways || now >= pending.gateways_until)
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,30 +1,37 @@
-//! The state machine of one core member (a replicated state machine with a leader's lease): agreement, state, registers,
-//! counter, and the rules by which they are driven. No I/O.
+//! One member of the replicated core as a state machine: consensus with a leader's lease, the replicated state, the
+//! registers of servers and gateways, and the quota counter. No I/O.
 //!
-//! [`Replica`] takes the time of a steady clock (ms, whole), messages, completions of writes and calls. What is to be done
-//! waits in [`Replica::take_effects`], which the driver calls after every call that takes `now`; then it
+//! [`Replica`] is driven by a monotonic clock (whole ms), messages, completed writes and calls. Its effects are collected
+//! until the driver calls [`Replica::take_effects`], which it does after every call that takes `now`. The driver then
 //!
-//! 1. sends [`Effects::send`] and gives [`Effects::writes`] to the disk, in order, telling [`Replica::written`] of each,
+//! 1. sends [`Effects::send`] and passes [`Effects::writes`] to the disk in order, reporting each with [`Replica::written`],
 //! 2. answers the waiting callers in [`Effects::answers`], each by the ticket that its call was given,
-//! 3. lets held calls look again where [`Effects::changed`], and sets its alarm anew where [`Effects::sooner`],
-//! 4. keeps [`Effects::hint`] as well as may be, and logs [`Effects::events`].
+//! 3. checks held calls again if [`Effects::changed`], and resets its timer if [`Effects::wake_changed`],
+//! 4. saves [`Effects::watch_cache_to_save`] on a best-effort basis, and logs [`Effects::events`].
 //!
 //! ```text
 //! Replica::new(Rc<MemberConfig>, Restored, Tuning, seed, now) -> Replica
-//!   .tick(now)   .next_wake() -> u64   .heard(now, messages)   .written(now, ticket, fine)   .take() -> Effects
-//!   .seek(now, hosts)   .resign(now)   .remember(Copy)
-//! for callers that wait for the agreement, answered by ticket in time of their own:
-//!   .read(now) -> Ticket   .change(now, Change) -> Ticket   .zone(now, zone, back) -> Ticket   .leave_off(ticket)
-//!   .order(now, MembershipRequest) -> Ticket   .core_view(now) -> CoreView   .trial(now, tenant, lapse) -> Ticket   .trials(now)
-//! for callers of the leader, by its lease:
-//!   .units(now, &call) -> Result<UnitsReply, LeaderRedirect>   .ebb(now, &call) -> Result<PaceSharesAnswer, LeaderRedirect>
+//!   .tick(now)   .next_wake() -> u64   .receive(now, messages)   .written(now, ticket, succeeded)
+//!   .take_effects() -> Effects   .add_seed_hosts(now, hosts)   .leave(now)   .resign(now)   .load_watch_cache(WatchCache)
+//! calls that wait for consensus, answered later by ticket:
+//!   .read(now) -> Ticket   .change_config(now, Change) -> Ticket   .change_evacuation(now, zone, end) -> Ticket
+//!   .change_membership(now, MembershipRequest) -> Ticket   .core_view(now) -> CoreView
+//!   .change_trial(now, tenant, lapse) -> Ticket   .trial_views(now)   .cancel(ticket)
+//! calls that the leader answers by its lease:
+//!   .request_units(now, &call) -> Result<UnitsReply, LeaderRedirect>
+//!   .request_pace_shares(now, &call) -> Result<PaceSharesAnswer, LeaderRedirect>
 //!   .claim(now, &call) -> Result<ClaimReply, LeaderRedirect>
-//!   .called(now, &call) -> Result<HeldWatch, LeaderRedirect>   .watch(now, &call, &held) -> Result<Option<WatchAnswer>, LeaderRedirect>
-//!   .beat(now, id, &beat) -> Result<Option<PendingAck>, LeaderRedirect>   .gone(now, id)   .come_round(now, &round)
-//! for followers: .elsewhere() .ask(life) .learned(answer); to look at: .book() .state() .copy() .leads()
+//!   .begin_watch(now, &call) -> Result<HeldWatch, LeaderRedirect>
+//!   .answer_watch(now, &call, &held) -> Result<Option<WatchAnswer>, LeaderRedirect>
+//!   .watch_disconnected(now, &call, &held)
+//!   .record_heartbeat(now, id, &beat) -> Result<Option<PendingAck>, LeaderRedirect>
+//!   .remove_server(now, id) -> Result<PendingAck, LeaderRedirect>
+//!   .ack_ready(now, &pending) -> Result<bool, LeaderRedirect>
+//! for followers: .leader_redirect() .watch_call(incarnation) .apply_watch_answer(now, answer)
+//! to inspect: .consensus() .state() .watch_cache() .leader_state()
 //! ```
 //!
-//! The same driver runs in `controller::driver` over sockets and in `simulation` over virtual time.
+//! The same state machine is driven by `controller::driver` over sockets and by `simulation` over virtual time.
 
 mod change;
 pub mod change_history;
--- a/crates/replica/src/operations_view.rs
+++ b/crates/replica/src/operations_view.rs
@@ -1,4 +1,4 @@
-//! Keyed operations as operators see them. What became of an operation is known to the gateway that holds its claim alone.
+//! Keyed operations as operators see them. Only the gateway that holds an operation's claim knows its result.
 
 use crate::replica::Replica;
 use nickeljunction_messages::OperationId;
@@ -6,47 +6,47 @@
 use serde::Serialize;
 use std::net::Ipv4Addr;
 
-/// Generations that are told one by one, the oldest first; more than a window has of them.
-const MOST_GENERATIONS: usize = 32;
+/// Most generations that are listed, the oldest first: more than a window has.
+const MAX_LISTED_GENERATIONS: usize = 32;
 
-/// How many operations are claimed, and for how long.
+/// How many operations are claimed, and when they are forgotten.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct OperationsView {
-    /// Operations that are claimed.
+    /// Operations with a claim.
     pub remembered: usize,
-    /// Claims that are remembered: more where one was claimed in several generations.
+    /// Claims on record: more than operations if one was claimed in several generations.
     pub claims: usize,
-    /// Most claims that are remembered: no more is granted then.
+    /// Most claims on record; beyond that no claim is granted.
     pub most_claims: usize,
-    /// Claims that wait for their entry of the log.
+    /// Claims that wait to be put in a log entry.
     pub waiting: usize,
-    /// How many generations there are.
+    /// Number of generations.
     pub generations: u64,
-    /// The oldest of them, oldest first.
+    /// The oldest generations, oldest first.
     pub oldest: Vec<GenerationView>,
 }
 
-/// Claims that were granted in one stretch of time.
+/// Claims that were granted in one span of time and are forgotten together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct GenerationView {
-    /// Rises by one.
+    /// Number of the generation; each is one above the one before.
     pub generation: u64,
-    /// Claims in it.
+    /// Number of claims.
     pub claims: usize,
-    /// For how long this leader has known it to be closed, ms: its claims are at least so old. `None`: it is open.
+    /// How long ago this leader learned that it is closed, ms: its claims are at least this old. `None`: it is open.
     pub closed_ms: Option<u64>,
-    /// Until it is forgotten, ms; `None`: it is open.
+    /// Time until it is forgotten, ms; `None`: it is open.
     pub forgotten_in_ms: Option<u64>,
 }
 
-/// One operation.
+/// A keyed operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct OperationView {
     /// Digest of its tenant and its key.
     pub operation: OperationId,
     /// `unclaimed`, `held`, `holder_away` or `holder_unknown`.
     pub state: &'static str,
-    /// Its claim; `None`: nobody holds it.
+    /// `None`: the operation is unclaimed.
     #[serde(flatten)]
     pub claim: Option<ClaimView>,
 }
@@ -54,28 +54,28 @@
 /// The claim that holds an operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ClaimView {
-    /// IP address of the gateway that made it.
+    /// IP address of the gateway that made the claim.
     pub host: Ipv4Addr,
     /// That gateway's process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Number of the claim in that process's life.
+    /// Number of the claim among those of that process.
     pub number: u64,
-    /// Name of that gateway, where its process is known to this leader.
+    /// Name of that gateway, if this leader knows its process.
     pub gateway: Option<String>,
-    /// For how long that process has been away, ms; `None`: it is there, or not known.
+    /// How long that process has been disconnected, ms; `None`: it is connected, or not known.
     pub away_ms: Option<u64>,
-    /// When it was granted.
+    /// The generation in which it was granted.
     #[serde(flatten)]
     pub granted: GenerationView,
 }
 
 impl Replica {
-    /// All operations, as this member, which leads, knows them.
+    /// All operations, as this leader knows them.
     pub fn operations_view(&self, now: u64) -> OperationsView {
         let table = self.state.operations();
         let generations = table.closed_generations().start..table.open_generation() + 1;
-        let oldest = generations.clone().take(MOST_GENERATIONS);
+        let oldest = generations.clone().take(MAX_LISTED_GENERATIONS);
         OperationsView {
             remembered: table.operation_count(),
             claims: table.record_count(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// One operation, as this member, which leads, knows it.
+    /// One operation, as this leader knows it.
     pub fn operation_view(&self, now: u64, operation: OperationId) -> OperationView {
         let Some(holding) = self.state.operations().holding(operation) else {
             return OperationView { operation, state: "unclaimed", claim: None };
--- a/crates/replica/src/outbox.rs
+++ b/crates/replica/src/outbox.rs
@@ -1,33 +1,32 @@
-//! Messages to one other member: which go out together, and how long a call with them may take.
+//! Queue of messages to one other member: which are sent together, and how long a call with them may take.
 //!
-//! A line may be thin, and a call that is given up before its bytes are through brings nothing, however often it is
-//! repeated. So a call has time in proportion to its bytes, a batch is small enough for the heartbeat behind it not to come
-//! late, and a snapshot goes by itself: heartbeats pass it, or its receiver would be taken for gone.
+//! On a slow link, a call that times out before its bytes are transferred achieves nothing, however often it is repeated. So
+//! the time-out grows with the number of bytes, a batch is small enough not to delay the heartbeat behind it, and a snapshot
+//! has a call of its own: heartbeats overtake it, or its receiver would be taken for failed.
 
 use nickeljunction_consensus::{Envelope, Msg};
 use std::collections::VecDeque;
 
-/// Messages that wait for one member at most. A lost one harms nothing; many old ones would only come late.
-const MOST_WAITING: usize = 64;
-/// Bytes that go out in one call, but for a single message that is larger.
+/// Most messages that wait for one member. Lost messages do no harm; many old ones would only arrive late.
+const MAX_WAITING: usize = 64;
+/// Most bytes in one call, except for a single message that is larger.
 const BATCH_BYTES: usize = 32 * 1024;
-/// A call of few bytes without an answer by then has failed, ms: a member that is cut off must not hold what comes after
-/// for long.
-const CALL_MS: u64 = 300;
-/// The thinnest line that is reckoned with, bytes a ms: 0.4 Mbit/s.
-const LEAST_RATE: usize = 50;
+/// Time-out of a call with few bytes, ms: an unreachable member must not block the following messages for long.
+const BASE_TIMEOUT_MS: u64 = 300;
+/// The slowest link that is supported, bytes per ms: 0.4 Mbit/s.
+const MIN_BYTES_PER_MS: usize = 50;
 
-/// What goes to a member by itself.
+/// Messages of different lanes are sent in separate calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// All but snapshots, in their order: an append that overtakes another one is refused.
+    /// All messages except snapshots, in order: an append that overtakes another one is rejected.
     InOrder,
-    /// Snapshots. One at a time: a leader sends it again where it isn't answered.
+    /// Snapshots, one at a time: the leader sends one again if it isn't answered.
     Snapshots,
 }
 
 impl Lane {
-    /// All of them.
+    /// Both lanes.
     pub const ALL: [Lane; 2] = [Lane::InOrder, Lane::Snapshots];
 
     fn of(message: &Envelope) -> Lane {
@@ -38,12 +37,12 @@
     }
 }
 
-/// What one call carries.
+/// The contents of one call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
-    /// In their order.
+    /// In the order in which they have to be processed.
     pub messages: Vec<Envelope>,
-    /// Without an answer after so long, ms, it has failed.
+    /// Time-out of the call, ms.
     pub timeout_ms: u64,
 }
 
@@ -52,40 +51,40 @@
 pub struct Outbox {
     in_order: VecDeque<Envelope>,
     snapshot: Option<Envelope>,
-    /// A call is under way, by lane.
-    calls: [bool; 2],
+    /// Whether a call is in flight, by lane.
+    in_flight: [bool; 2],
 }
 
 impl Outbox {
-    /// Takes a message; false where it is dropped, as too much waits.
+    /// Adds a message; false if it is dropped because too many wait.
     pub fn push(&mut self, message: Envelope) -> bool {
         match Lane::of(&message) {
-            Lane::InOrder if self.in_order.len() < MOST_WAITING => self.in_order.push_back(message),
-            // The one under way is as good, or the next will be.
-            Lane::Snapshots if !self.calls[Lane::Snapshots as usize] => self.snapshot = Some(message),
+            Lane::InOrder if self.in_order.len() < MAX_WAITING => self.in_order.push_back(message),
+            // A snapshot in flight serves as well, or the next one will.
+            Lane::Snapshots if !self.in_flight[Lane::Snapshots as usize] => self.snapshot = Some(message),
             _ => return false,
         }
         true
     }
 
-    /// The next call of a lane; `None`: one is under way, or nothing waits. To be followed by [`Outbox::done`].
+    /// The next call of a lane; `None`: one is in flight, or nothing waits. [`Outbox::done`] has to follow.
     pub fn next(&mut self, lane: Lane) -> Option<Batch> {
-        if self.calls[lane as usize] {
+        if self.in_flight[lane as usize] {
             return None;
         }
         let messages = match lane {
             Lane::Snapshots => Vec::from_iter(self.snapshot.take()),
-            Lane::InOrder => self.batch(),
+            Lane::InOrder => self.next_in_order(),
         };
         if messages.is_empty() {
             return None;
         }
-        self.calls[lane as usize] = true;
+        self.in_flight[lane as usize] = true;
         let bytes: usize = messages.iter().map(Envelope::size).sum();
-        Some(Batch { messages, timeout_ms: CALL_MS + (bytes / LEAST_RATE) as u64 })
+        Some(Batch { messages, timeout_ms: BASE_TIMEOUT_MS + (bytes / MIN_BYTES_PER_MS) as u64 })
     }
 
-    fn batch(&mut self) -> Vec<Envelope> {
+    fn next_in_order(&mut self) -> Vec<Envelope> {
         let (mut messages, mut bytes) = (Vec::new(), 0);
         while let Some(next) = self.in_order.front() {
             bytes += next.size();
@@ -97,8 +96,8 @@
         messages
     }
 
-    /// The call of a lane is over, well or not.
+    /// The call of a lane has succeeded or failed.
     pub fn done(&mut self, lane: Lane) {
-        self.calls[lane as usize] = false;
+        self.in_flight[lane as usize] = false;
     }
 }
--- a/crates/replica/src/pending_calls.rs
+++ b/crates/replica/src/pending_calls.rs
@@ -1,6 +1,7 @@
-//! Calls that wait for the agreement: reads, changes, zones, trials, and gateways' processes that are new.
+//! Calls that wait for consensus: reads, changes of the configuration, of the membership, of evacuations and of trials,
+//! and requests for units by new gateway processes.
 
-use crate::change::{Change, Fit};
+use crate::change::{Change, ValidatedChange};
 use crate::effects::{Answer, Event, Ticket};
 use crate::membership::MembershipRequest;
 use crate::replica::Replica;
@@ -10,178 +11,199 @@
 use nickeljunction_operations::Batch;
 use nickeljunction_quota::ProcessListChange;
 
-/// A call that isn't settled by then is answered as open, ms: operators move on after a second of silence, and repeat it
-/// unchanged elsewhere.
-const ANSWER_MS: u64 = 900;
-/// An entry of the leader's own that is not on a majority's disks by then is proposed anew, ms.
-const OWN_MS: u64 = 2_500;
-/// A read that no majority confirms by then is given up, ms.
-const READ_MS: u64 = 800;
-/// Operators wait longer where they sent much: a ms for so many bytes.
-const BYTES_A_MS: usize = 1_024;
-/// How long a gateway's counted add waits for the log, ms: below its own time-out.
-const ENROLL_MS: u64 = 250;
+/// After this time an operator's call is answered as undecided, ms: operators give up after a second without an answer and
+/// repeat the call unchanged at another member.
+const ANSWER_TIMEOUT_MS: u64 = 900;
+/// An entry that the leader proposed by itself is proposed again if it is not committed within this time, ms.
+const OWN_ENTRY_TIMEOUT_MS: u64 = 2_500;
+/// A read that no majority confirms within this time fails, ms.
+const READ_TIMEOUT_MS: u64 = 800;
+/// Operators wait longer for large bodies: one ms more for this many bytes.
+const BYTES_PER_EXTRA_MS: usize = 1_024;
+/// How long a gateway's request for units waits for the log, ms: less than the gateway's own time-out.
+const ENROLL_TIMEOUT_MS: u64 = 250;
 
-/// A call that waits for a majority to confirm it.
+/// A call that waits until a majority has confirmed this member as leader.
 #[derive(Debug)]
-pub(crate) struct Confirming {
-    /// Last moment for that, ms.
+pub(crate) struct PendingRead {
+    /// Deadline of the confirmation, ms.
     pub confirm_by: u64,
-    /// Last moment for its answer, ms.
+    /// Deadline of the answer, ms.
     pub answer_by: u64,
-    pub reading: Reading,
+    pub call: ReadCall,
 }
 
-/// A call that a majority is to confirm.
+/// A call that needs this member to be confirmed as leader before it is handled.
 #[derive(Debug)]
-pub(crate) enum Reading {
+pub(crate) enum ReadCall {
     Get(Ticket),
     Change(Ticket, Change),
-    Core(Ticket, MembershipRequest),
-    /// Whose trial is to lapse, or else to be restored.
+    Membership(Ticket, MembershipRequest),
+    /// The tenant, and whether its trial lapses or is restored.
     Trial(Ticket, String, bool),
 }
 
-/// A call whose entry is on its way.
+/// The origin of a proposed entry that is not yet committed.
 #[derive(Debug)]
-pub(crate) enum Proposed {
-    /// The counter's own wish.
-    Forget,
-    /// The leader's own: departures of servers.
+pub(crate) enum Proposal {
+    /// Proposed by the leader: gateway processes without units in force are removed.
+    ForgetProcesses,
+    /// Proposed by the leader: departures of servers.
     Departures,
     /// Claims of keyed operations.
     Claims(Batch),
-    /// The leader's own: generations of keyed operations.
+    /// Proposed by the leader: generations of keyed operations are closed or forgotten.
     Generations,
-    /// Counted adds of a gateway's process that is new.
-    Lend(Ticket, UnitsCall),
-    /// A configuration on a base, with its version.
-    Put { ticket: Ticket, patch: bool, base: u64, version: u64 },
-    /// An order on the core's members.
-    Core { ticket: Ticket, wish: MembershipRequest },
-    /// A zone is evacuated, or taken back.
-    Zone { ticket: Ticket, zone: String, back: bool },
-    /// An order on a tenant's trial.
-    Trial { ticket: Ticket, tenant: String, lapse: bool, answer_by: u64 },
-    /// The leader's own: the next stage of a trial, on a step.
-    Stage { tenant: String, base: u64 },
+    /// A new gateway process is registered, then its request for units is answered.
+    Enroll(Ticket, UnitsCall),
+    /// A configuration with this version, built on version `base`.
+    ConfigChange {
+        ticket: Ticket,
+        patch: bool,
+        base: u64,
+        version: u64,
+    },
+    Membership {
+        ticket: Ticket,
+        request: MembershipRequest,
+    },
+    /// A zone's evacuation begins or ends.
+    Evacuation {
+        ticket: Ticket,
+        zone: String,
+        end: bool,
+    },
+    /// An operator's order on a tenant's trial.
+    Trial {
+        ticket: Ticket,
+        tenant: String,
+        lapse: bool,
+        answer_by: u64,
+    },
+    /// Proposed by the leader: the next stage of a trial after step `base`.
+    TrialStage {
+        tenant: String,
+        base: u64,
+    },
 }
 
-/// A call that can go on.
+/// A confirmed read or a decided entry, to be handled next.
 #[derive(Debug)]
-pub(crate) enum Settled {
-    /// A majority has confirmed the lead: last moment for the answer, ms. `None`: none has.
-    Read(Reading, Option<u64>),
-    /// What the entry came to; `None`: not known to be taken.
-    Entry(Proposed, Option<Outcome>),
+pub(crate) enum Resolved {
+    /// The deadline of the answer, ms; `None`: no majority has confirmed this member as leader.
+    Read(ReadCall, Option<u64>),
+    /// The outcome of the entry; `None`: it is not known whether the entry is on the log.
+    Entry(Proposal, Option<Outcome>),
 }
 
 impl Replica {
-    pub(crate) fn ticket(&mut self) -> Ticket {
+    pub(crate) fn new_ticket(&mut self) -> Ticket {
         self.next_ticket += 1;
         self.next_ticket
     }
 
-    /// An operator reads: [`Answer::Confirmed`] once a majority has confirmed this member's lead after now.
+    /// A linearizable read by an operator: [`Answer::Confirmed`] once a majority has confirmed, after `now`, that this
+    /// member leads.
     pub fn read(&mut self, now: u64) -> Ticket {
-        let ticket = self.ticket();
-        self.confirm(now, now + ANSWER_MS, Reading::Get(ticket));
+        let ticket = self.new_ticket();
+        self.await_confirmation(now, now + ANSWER_TIMEOUT_MS, ReadCall::Get(ticket));
         ticket
     }
 
-    /// An operator changes the configuration.
+    /// An operator changes the configuration: [`Answer::Accepted`] once the change is committed.
     pub fn change_config(&mut self, now: u64, change: Change) -> Ticket {
-        let ticket = self.ticket();
-        // A member that doesn't lead sends it on before it reads: the leader looks.
-        let answer_by = now + ANSWER_MS + (change.body.len() / BYTES_A_MS) as u64;
-        self.confirm(now, answer_by, Reading::Change(ticket, change));
+        let ticket = self.new_ticket();
+        // The body is parsed only after the confirmation, so a member that doesn't lead redirects the call unparsed.
+        let answer_by = now + ANSWER_TIMEOUT_MS + (change.body.len() / BYTES_PER_EXTRA_MS) as u64;
+        self.await_confirmation(now, answer_by, ReadCall::Change(ticket, change));
         ticket
     }
 
-    /// An operator orders who is to be a member of the core: [`Answer::Accepted`] once it is on the log, or where it is so
-    /// already. [`Replica::core_view`] tells how far it is.
-    pub fn change_membership(&mut self, now: u64, wish: MembershipRequest) -> Ticket {
-        let ticket = self.ticket();
-        self.confirm(now, now + ANSWER_MS, Reading::Core(ticket, wish));
+    /// An operator requests a change of the core's membership: [`Answer::Accepted`] once the order is on the log, or at
+    /// once if there is nothing to change. [`Replica::core_view`] shows how far it is carried out.
+    pub fn change_membership(&mut self, now: u64, request: MembershipRequest) -> Ticket {
+        let ticket = self.new_ticket();
+        self.await_confirmation(now, now + ANSWER_TIMEOUT_MS, ReadCall::Membership(ticket, request));
         ticket
     }
 
-    /// An operator evacuates a zone, or takes it `back`.
-    pub fn change_evacuation(&mut self, now: u64, zone: String, back: bool) -> Ticket {
-        let ticket = self.ticket();
-        let entry = if back { Entry::Return(zone.clone()) } else { Entry::Evacuate(zone.clone()) };
-        self.propose(now, &entry, now + ANSWER_MS, Proposed::Zone { ticket, zone, back });
-        self.turn(now, |_| ());
+    /// An operator begins or, with `end`, ends a zone's evacuation.
+    pub fn change_evacuation(&mut self, now: u64, zone: String, end: bool) -> Ticket {
+        let ticket = self.new_ticket();
+        let entry = if end { Entry::Return(zone.clone()) } else { Entry::Evacuate(zone.clone()) };
+        self.propose(now, &entry, now + ANSWER_TIMEOUT_MS, Proposal::Evacuation { ticket, zone, end });
+        self.advance(now, |_| ());
         ticket
     }
 
-    /// An operator has a tenant's trial lapse, or else restores it: [`Answer::Accepted`] once that is its direction.
+    /// An operator lets a tenant's trial lapse, or restores it: [`Answer::Accepted`] once the trial goes in that direction.
     pub fn change_trial(&mut self, now: u64, tenant: String, lapse: bool) -> Ticket {
-        let ticket = self.ticket();
-        self.confirm(now, now + ANSWER_MS, Reading::Trial(ticket, tenant, lapse));
+        let ticket = self.new_ticket();
+        self.await_confirmation(now, now + ANSWER_TIMEOUT_MS, ReadCall::Trial(ticket, tenant, lapse));
         ticket
     }
 
-    /// Nobody waits for this answer any more: what was not begun for it is not done.
+    /// The caller no longer waits for this answer: work on the call that has not begun is dropped.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.claims.cancel(ticket);
-        self.reads.retain(|_, confirming| match &confirming.reading {
-            Reading::Get(of) | Reading::Change(of, _) | Reading::Core(of, _) | Reading::Trial(of, ..) => {
-                *of != ticket
-            }
+        self.pending_reads.retain(|_, pending| match &pending.call {
+            ReadCall::Get(own)
+            | ReadCall::Change(own, _)
+            | ReadCall::Membership(own, _)
+            | ReadCall::Trial(own, ..) => *own != ticket,
         });
-        self.waits.retain(|_, (.., proposed)| match proposed {
-            Proposed::Forget
-            | Proposed::Departures
-            | Proposed::Claims(_)
-            | Proposed::Generations
-            | Proposed::Stage { .. } => true,
-            Proposed::Lend(of, _)
-            | Proposed::Put { ticket: of, .. }
-            | Proposed::Core { ticket: of, .. }
-            | Proposed::Trial { ticket: of, .. }
-            | Proposed::Zone { ticket: of, .. } => *of != ticket,
+        self.proposals.retain(|_, (.., proposal)| match proposal {
+            Proposal::ForgetProcesses
+            | Proposal::Departures
+            | Proposal::Claims(_)
+            | Proposal::Generations
+            | Proposal::TrialStage { .. } => true,
+            Proposal::Enroll(own, _)
+            | Proposal::ConfigChange { ticket: own, .. }
+            | Proposal::Membership { ticket: own, .. }
+            | Proposal::Trial { ticket: own, .. }
+            | Proposal::Evacuation { ticket: own, .. } => *own != ticket,
         });
     }
 
-    fn confirm(&mut self, now: u64, answer_by: u64, reading: Reading) {
-        match self.book.read(now) {
+    fn await_confirmation(&mut self, now: u64, answer_by: u64, call: ReadCall) {
+        match self.consensus.read(now) {
             Ok(ticket) => {
-                let confirming = Confirming { confirm_by: now + READ_MS, answer_by, reading };
-                self.reads.insert(ticket, confirming);
+                let pending = PendingRead { confirm_by: now + READ_TIMEOUT_MS, answer_by, call };
+                self.pending_reads.insert(ticket, pending);
             }
-            Err(_) => self.settled.push(Settled::Read(reading, None)),
+            Err(_) => self.resolved.push(Resolved::Read(call, None)),
         }
-        self.turn(now, |_| ());
+        self.advance(now, |_| ());
     }
 
-    /// Puts an entry on the log, if that takes it; to be followed by a turn.
-    pub(crate) fn propose(&mut self, now: u64, entry: &Entry, until: u64, proposed: Proposed) {
+    /// Proposes an entry. The caller has to call [`Replica::advance`] afterwards.
+    pub(crate) fn propose(&mut self, now: u64, entry: &Entry, deadline: u64, proposal: Proposal) {
         let index = match serde_json::to_string(entry) {
-            Ok(data) => self.book.propose(now, data),
+            Ok(data) => self.consensus.propose(now, data),
             Err(_) => Err(RequestError::NotLeader(None)),
         };
         match index {
             Ok(index) => {
-                let term = self.book.term();
-                self.waits.insert(index, (term, until, proposed));
+                let term = self.consensus.term();
+                self.proposals.insert(index, (term, deadline, proposal));
             }
             Err(error) => {
                 if !matches!(error, RequestError::NotLeader(_)) {
-                    self.out.events.push(Event::ProposalRefused { error: error.to_string() });
+                    self.effects.events.push(Event::ProposalRefused { error: error.to_string() });
                 }
-                self.settled.push(Settled::Entry(proposed, None));
+                self.resolved.push(Resolved::Entry(proposal, None));
             }
         }
     }
 
-    /// The leader's own entry on a trial.
-    pub(crate) fn propose_own(&mut self, now: u64, entry: &Entry, proposed: Proposed) {
-        self.propose(now, entry, now + OWN_MS, proposed);
+    /// Proposes an entry on the leader's own behalf.
+    pub(crate) fn propose_own(&mut self, now: u64, entry: &Entry, proposal: Proposal) {
+        self.propose(now, entry, now + OWN_ENTRY_TIMEOUT_MS, proposal);
     }
 
-    /// Has a trial's order put on the log, where that is needed; else its answer.
-    fn order_trial(
+    /// Proposes the entry for an order on a trial, or returns the answer if no entry is needed.
+    fn propose_trial_order(
         &mut self,
         now: u64,
         answer_by: u64,
@@ -191,8 +213,8 @@
     ) -> Option<Answer> {
         match self.trial_entry(&tenant, lapse) {
             Ok(Some(entry)) => {
-                let proposed = Proposed::Trial { ticket, tenant, lapse, answer_by };
-                self.propose(now, &entry, answer_by, proposed);
+                let proposal = Proposal::Trial { ticket, tenant, lapse, answer_by };
+                self.propose(now, &entry, answer_by, proposal);
                 None
             }
             Ok(None) => Some(Answer::Accepted),
@@ -200,76 +222,85 @@
         }
     }
 
-    fn enroll(&mut self, now: u64, roll: ProcessListChange, until: u64, proposed: Proposed) {
-        let ProcessListChange { added, removed } = roll;
+    fn enroll(&mut self, now: u64, change: ProcessListChange, deadline: u64, proposal: Proposal) {
+        let ProcessListChange { added, removed } = change;
         let names = added.values().cloned().collect();
-        self.out.events.push(Event::GatewaysEnrolled { added: names, removed: removed.len() });
-        self.propose(now, &Entry::Gateways { added, removed }, until, proposed);
-        self.turn(now, |_| ());
+        self.effects.events.push(Event::GatewaysEnrolled { added: names, removed: removed.len() });
+        self.propose(now, &Entry::Gateways { added, removed }, deadline, proposal);
+        self.advance(now, |_| ());
     }
 
-    /// Puts a gateway's process on the log before anything is lent to it.
-    pub(crate) fn enroll_first(&mut self, now: u64, roll: ProcessListChange, call: UnitsCall) -> Ticket {
-        let ticket = self.ticket();
-        self.enroll(now, roll, now + ENROLL_MS, Proposed::Lend(ticket, call));
+    /// Puts a new gateway process on the log before it is granted any units.
+    pub(crate) fn enroll_before_lending(
+        &mut self,
+        now: u64,
+        change: ProcessListChange,
+        call: UnitsCall,
+    ) -> Ticket {
+        let ticket = self.new_ticket();
+        self.enroll(now, change, now + ENROLL_TIMEOUT_MS, Proposal::Enroll(ticket, call));
         ticket
     }
 
-    /// Takes processes off the log that have nothing in force.
-    pub(crate) fn forget(&mut self, now: u64, roll: ProcessListChange) {
-        self.enroll(now, roll, u64::MAX, Proposed::Forget);
+    /// Removes gateway processes without units in force from the log.
+    pub(crate) fn forget_processes(&mut self, now: u64, change: ProcessListChange) {
+        self.enroll(now, change, u64::MAX, Proposal::ForgetProcesses);
     }
 
-    /// Goes on with a call.
-    pub(crate) fn go_on(&mut self, now: u64, settled: Settled) {
-        let (ticket, answer) = match settled {
-            Settled::Read(Reading::Get(ticket), Some(_)) => (ticket, Answer::Confirmed),
-            Settled::Read(Reading::Change(ticket, change), Some(by)) => match change.check(&self.state) {
-                Ok(Fit { base, version, entry, checked }) => {
-                    self.checked = Some(checked);
-                    let proposed = Proposed::Put { ticket, patch: change.patch, base, version };
-                    return self.propose(now, &entry, by, proposed);
+    /// Continues a call after its confirmation or after the decision on its entry.
+    pub(crate) fn handle_resolved(&mut self, now: u64, resolved: Resolved) {
+        let (ticket, answer) = match resolved {
+            Resolved::Read(ReadCall::Get(ticket), Some(_)) => (ticket, Answer::Confirmed),
+            Resolved::Read(ReadCall::Change(ticket, change), Some(answer_by)) => {
+                match change.validate(&self.state) {
+                    Ok(ValidatedChange { base, version, entry, checked }) => {
+                        self.checked = Some(checked);
+                        let proposal = Proposal::ConfigChange { ticket, patch: change.patch, base, version };
+                        return self.propose(now, &entry, answer_by, proposal);
+                    }
+                    Err(answer) => (ticket, answer),
                 }
-                Err(answer) => (ticket, answer),
-            },
-            Settled::Read(Reading::Core(ticket, wish), Some(by)) => match self.core_entry(now, &wish) {
+            }
+            Resolved::Read(ReadCall::Membership(ticket, request), Some(answer_by)) => match self
+                .membership_entry(now, &request)
+            {
                 Ok(Some(entry)) => {
-                    return self.propose(now, &entry, by, Proposed::Core { ticket, wish });
+                    return self.propose(now, &entry, answer_by, Proposal::Membership { ticket, request });
                 }
                 Ok(None) => (ticket, Answer::Accepted),
-                Err(unfit) => (ticket, Answer::MembershipRefused(unfit)),
+                Err(error) => (ticket, Answer::MembershipRefused(error)),
             },
-            Settled::Read(Reading::Trial(ticket, tenant, lapse), Some(by)) => {
-                match self.order_trial(now, by, ticket, tenant, lapse) {
+            Resolved::Read(ReadCall::Trial(ticket, tenant, lapse), Some(answer_by)) => {
+                match self.propose_trial_order(now, answer_by, ticket, tenant, lapse) {
                     Some(answer) => (ticket, answer),
                     None => return,
                 }
             }
-            Settled::Read(
-                Reading::Get(ticket)
-                | Reading::Change(ticket, _)
-                | Reading::Core(ticket, _)
-                | Reading::Trial(ticket, ..),
+            Resolved::Read(
+                ReadCall::Get(ticket)
+                | ReadCall::Change(ticket, _)
+                | ReadCall::Membership(ticket, _)
+                | ReadCall::Trial(ticket, ..),
                 None,
             ) => (ticket, Answer::NotLeader(self.leader_redirect())),
-            Settled::Entry(Proposed::Forget, _) => {
+            Resolved::Entry(Proposal::ForgetProcesses, _) => {
                 if let Some(lead) = &mut self.lead {
-                    lead.forgets = false;
+                    lead.forget_in_flight = false;
                 }
                 return;
             }
-            Settled::Entry(Proposed::Departures, outcome) => {
+            Resolved::Entry(Proposal::Departures, outcome) => {
                 return self.departures_settled(now, outcome.is_some())
             }
-            Settled::Entry(Proposed::Claims(batch), outcome) => {
+            Resolved::Entry(Proposal::Claims(batch), outcome) => {
                 return self.claims_settled(now, &batch, outcome.is_some())
             }
-            Settled::Entry(Proposed::Generations, _) => return self.generations_settled(),
-            Settled::Entry(Proposed::Lend(ticket, call), Some(_)) => {
+            Resolved::Entry(Proposal::Generations, _) => return self.generations_settled(),
+            Resolved::Entry(Proposal::Enroll(ticket, call), Some(_)) => {
                 (ticket, self.lend_to_new(now, &call).map_or_else(Answer::NotLeader, Answer::Units))
             }
-            Settled::Entry(Proposed::Put { ticket, patch, base, version }, outcome) => {
-                self.out.events.push(Event::ConfigChange { patch, base, version, outcome });
+            Resolved::Entry(Proposal::ConfigChange { ticket, patch, base, version }, outcome) => {
+                self.effects.events.push(Event::ConfigChange { patch, base, version, outcome });
                 let answer = match outcome {
                     Some(Outcome::Taken) => Answer::Accepted,
                     Some(Outcome::Conflict) => Answer::Conflict(None),
@@ -277,40 +308,42 @@
                 };
                 (ticket, answer)
             }
-            Settled::Entry(Proposed::Core { ticket, wish }, outcome) => {
+            Resolved::Entry(Proposal::Membership { ticket, request }, outcome) => {
                 let answer = match outcome {
                     Some(Outcome::Taken) => Answer::Accepted,
-                    // What came first may have been another copy of this very order.
-                    Some(Outcome::Conflict) => match self.core_entry(now, &wish) {
+                    // The entry that was applied first may be a repeat of this same request.
+                    Some(Outcome::Conflict) => match self.membership_entry(now, &request) {
                         Ok(None) => Answer::Accepted,
                         _ => Answer::Conflict(None),
                     },
                     Some(Outcome::Diverged) | None => Answer::Unknown,
                 };
-                self.out.events.push(Event::MembershipOrder { request: wish, outcome });
+                self.effects.events.push(Event::MembershipOrder { request, outcome });
                 (ticket, answer)
             }
-            Settled::Entry(Proposed::Stage { tenant, base }, _) => {
+            Resolved::Entry(Proposal::TrialStage { tenant, base }, _) => {
                 return self.stage_settled(now, &tenant, base)
             }
-            Settled::Entry(Proposed::Trial { ticket, tenant, lapse, answer_by }, outcome) => match outcome {
+            Resolved::Entry(Proposal::Trial { ticket, tenant, lapse, answer_by }, outcome) => match outcome {
                 Some(Outcome::Taken) => (ticket, Answer::Accepted),
-                // A stage came first, or another operator: made anew on top of it.
-                Some(Outcome::Conflict) => match self.order_trial(now, answer_by, ticket, tenant, lapse) {
-                    Some(answer) => (ticket, answer),
-                    None => return,
-                },
+                // A stage or another operator's order was applied first: the order is made again on top of it.
+                Some(Outcome::Conflict) => {
+                    match self.propose_trial_order(now, answer_by, ticket, tenant, lapse) {
+                        Some(answer) => (ticket, answer),
+                        None => return,
+                    }
+                }
                 Some(Outcome::Diverged) | None => (ticket, Answer::Unknown),
             },
-            Settled::Entry(Proposed::Zone { ticket, zone, back }, Some(_)) => {
-                self.out.events.push(Event::Evacuation { zone, ended: back });
+            Resolved::Entry(Proposal::Evacuation { ticket, zone, end }, Some(_)) => {
+                self.effects.events.push(Event::Evacuation { zone, ended: end });
                 (ticket, Answer::Accepted)
             }
-            // Also where this member only passes it on.
-            Settled::Entry(Proposed::Lend(ticket, _) | Proposed::Zone { ticket, .. }, None) => {
+            // This is also the answer of a member that doesn't lead.
+            Resolved::Entry(Proposal::Enroll(ticket, _) | Proposal::Evacuation { ticket, .. }, None) => {
                 (ticket, Answer::NotLeader(self.leader_redirect()))
             }
         };
-        self.out.answers.push((ticket, answer));
+        self.effects.answers.push((ticket, answer));
     }
 }
