--- a/crates/edge/src/frontend.rs
+++ b/crates/edge/src/frontend.rs
@@ -384,7 +384,12 @@
     }
 
     /// Admits a request, forwards it and waits for its answer. Dropping the future cancels the request.
-    async fn handle_request(self: Rc<Self>, head: RequestHead, routed: RoutedRequest, body: RequestBody) -> Reply {
+    async fn handle_request(
+        self: Rc<Self>,
+        head: RequestHead,
+        routed: RoutedRequest,
+        body: RequestBody,
+    ) -> Reply {
         let operation = match self.operation(&head, &routed, &body) {
             Ok(operation) => operation,
             Err(refusal) => return Reply::Local(refusal),
@@ -434,7 +439,7 @@
             priority: table::priority(&route, tenant.as_deref()),
             tenant: tenant.map(|tenant| tenant.name.to_string()),
             arrived,
-            timeout_ms: patience_ms: time_limit_ms,
+            timeout_ms: time_limit_ms,
             unit_valid_until: unit_until,
             reply,
         });
--- a/crates/edge/src/frontend/connection.rs
+++ b/crates/edge/src/frontend/connection.rs
@@ -510,7 +510,8 @@
                     let mut backlog = VecDeque::new();
                     for mut bytes in [received.freeze(), part] {
                         while !bytes.is_empty() {
-                            backlog.push_back(BodyPart::Data(bytes.split_to(bytes.len().min(MAX_PART_BYTES))));
+                            backlog
+                                .push_back(BodyPart::Data(bytes.split_to(bytes.len().min(MAX_PART_BYTES))));
                         }
                     }
                     return (self.start_upload(head, routed, reader, None, backlog), true);
--- a/crates/edge/src/frontend/keyed.rs
+++ b/crates/edge/src/frontend/keyed.rs
@@ -201,7 +201,12 @@
 
     /// The first step of a claim, once no other request of the same key is in progress here or the request's time is
     /// up.
-    async fn begin(&self, claiming: &mut ClaimAttempt, routed: &RoutedRequest, client: &ReplySender) -> ClaimStep {
+    async fn begin(
+        &self,
+        claiming: &mut ClaimAttempt,
+        routed: &RoutedRequest,
+        client: &ReplySender,
+    ) -> ClaimStep {
         loop {
             let step = claiming.begin(self.wheel.now(), &mut self.operations.borrow_mut());
             if step != ClaimStep::Refused(ClaimRefusal::InProgress)
@@ -355,7 +360,9 @@
                 .to_response(&routed.attempt_id)
                 .map_or_else(|| Reply::Local(in_doubt()), Reply::Served)
         }
-        ClaimRefusal::InProgress => LocalReply::refusal(409, "the operation is at work", IN_PROGRESS_PAUSE_MS),
+        ClaimRefusal::InProgress => {
+            LocalReply::refusal(409, "the operation is at work", IN_PROGRESS_PAUSE_MS)
+        }
         ClaimRefusal::InDoubt => in_doubt(),
         ClaimRefusal::OtherRequest => LocalReply::new(422, "the operation key was used for another request"),
         ClaimRefusal::TableFull => {
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -82,8 +82,7 @@
         };
         let is_first = request.sends().begun() == 0;
         request.update_sends(SendCounts::begin);
-        self.context
-            .update_counts(|counts| {
+        self.context.update_counts(|counts| {
             *(if is_first { &mut counts.first_attempts } else { &mut counts.further_attempts }) += 1
         });
         let (Some(proxy), Some(lane)) = (self.proxy.upgrade(), self.lane.upgrade()) else { return };
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -150,7 +150,8 @@
         Desk::new(wheel.clone(), Limits { connections: MAX_READINESS_CONNECTIONS, ..Limits::default() })
             .route(READINESS_PATH, Rc::new(Readiness(core_client.clone())));
     if let Some(address) = addresses.directory {
-        let resolve = ResolveResource::new(core_client.clone(), rng.u64(..), DIRECTORY_TTL_S.min(bounds.ttl_max_s));
+        let resolve =
+            ResolveResource::new(core_client.clone(), rng.u64(..), DIRECTORY_TTL_S.min(bounds.ttl_max_s));
         let desk =
             Desk::new(wheel.clone(), Limits { connections: MAX_DIRECTORY_CONNECTIONS, ..Limits::default() });
         let desk = desk.route(RESOLVE_PATH, Rc::new(resolve));
