--- a/crates/fleet/src/machine/datagrams.rs
+++ b/crates/fleet/src/machine/datagrams.rs
@@ -135,10 +135,10 @@
         if members.is_none() && with_votes {
             self.attach_votes(&mut packet);
         }
-        let room = packet.room();
+        let free_bytes = packet.free_bytes();
         packet.entries = match members {
-            None => self.select_gossip(peer, room),
-            Some(members) => self.entries_for(members, room),
+            None => self.select_gossip(peer, free_bytes),
+            Some(members) => self.entries_for(members, free_bytes),
         };
         let Some(bytes) = packet.encode() else { return };
         self.send_budget -= 1.0;
@@ -147,7 +147,7 @@
         self.outgoing.push_back((self.view.roster_entry(peer).number, bytes));
     }
 
-    /// The budget below which such a datagram is not sent. Negative values overdraw what the next second adds.
+    /// The budget below which a datagram with this body is not sent; a negative value allows an overdraft.
     fn min_budget(&self, body: &Body, urgent: bool) -> f64 {
         // A missing answer looks like a crash: answers may overdraw a whole second of the send rate, pings half of one.
         let is_answer = matches!(body, Body::Ack(_) | Body::Nack(_));
--- a/crates/fleet/src/machine/gossip.rs
+++ b/crates/fleet/src/machine/gossip.rs
@@ -7,6 +7,8 @@
 
 /// Receivers of one round of gossip.
 const GOSSIP_FANOUT: usize = 2;
+/// Seconds' worth of the send rate that gossip leaves in the budget for pings and answers.
+const RESERVED_BUDGET_S: f64 = 0.1;
 
 impl Membership {
     pub(super) fn enqueue_gossip(&mut self, index: usize) {
@@ -45,8 +47,7 @@
         }
         self.last_gossip_ms = self.now_ms;
         for _ in 0..GOSSIP_FANOUT {
-            // Gossip does not use the budget that is reserved for pings and answers.
-            if self.send_budget < 0.1 * self.send_rate_per_s {
+            if self.send_budget < RESERVED_BUDGET_S * self.send_rate_per_s {
                 self.counts.rate_limited += 1;
                 return;
             }
@@ -58,9 +59,9 @@
         }
     }
 
-    /// The entries for a datagram of up to `room` bytes: first the receiver's own if it is not held to be alive, then
-    /// the queue by priority, and by the fewest transmissions within it. Counts the transmissions.
-    pub(super) fn select_gossip(&mut self, to: usize, mut room: usize) -> Vec<Entry> {
+    /// The entries that fit into `free_bytes`: first the receiver's own if it is not held to be alive, then the queue by
+    /// priority, and within a priority by the fewest transmissions. Counts the transmissions.
+    pub(super) fn select_gossip(&mut self, to: usize, mut free_bytes: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         let base = self.incarnation;
         let entry = |view: &View, index: usize| {
@@ -71,7 +72,7 @@
         let receiver_accused =
             !matches!(self.view.member(to).state, MemberState::Alive | MemberState::Unknown);
         if let Some(accusation) = entry(&self.view, to).filter(|_| receiver_accused) {
-            room = room.saturating_sub(accusation.byte_len());
+            free_bytes = free_bytes.saturating_sub(accusation.byte_len());
             entries.push(accusation);
         }
         let mut transmitted = Vec::new();
@@ -84,10 +85,10 @@
             }
             let Some(selected) = entry(&self.view, *index) else { continue };
             let bytes = selected.byte_len();
-            if bytes > room {
+            if bytes > free_bytes {
                 break;
             }
-            room -= bytes;
+            free_bytes -= bytes;
             entries.push(selected);
             transmitted.push((*priority, *transmissions, *index));
         }
@@ -103,18 +104,18 @@
         entries
     }
 
-    /// The entries of these members, up to `room` bytes.
-    pub(super) fn entries_for(&self, members: &[usize], mut room: usize) -> Vec<Entry> {
+    /// The entries of these members that fit into `free_bytes`.
+    pub(super) fn entries_for(&self, members: &[usize], mut free_bytes: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         for index in members {
             let member = self.view.member(*index);
             let Some(claim) = member.claim() else { continue };
             let number = self.view.roster_entry(*index).number;
             let entry = Entry::new(number, claim, member.incarnation, member.epoch, self.incarnation);
-            if entry.byte_len() > room {
+            if entry.byte_len() > free_bytes {
                 break;
             }
-            room -= entry.byte_len();
+            free_bytes -= entry.byte_len();
             entries.push(entry);
         }
         entries
--- a/crates/fleet/src/machine/mod.rs
+++ b/crates/fleet/src/machine/mod.rs
@@ -228,7 +228,7 @@
         self.own_number
     }
 
-    /// Time since the last change of the view.
+    /// Time since the last change of the view's digest.
     pub fn unchanged_ms(&self) -> f64 {
         (self.now_ms - self.view.last_change_ms()).max(0.0)
     }
@@ -237,7 +237,7 @@
     pub fn live_estimate(&self) -> LiveEstimate {
         let alive = self.view.count(MemberState::Alive);
         let suspect = self.view.count(MemberState::Suspect);
-        let left = self.view.count(MemberState::Leaving);
+        let leaving = self.view.count(MemberState::Leaving);
         // A gateway whose probes fail cannot tell whether the fault is its own: then only members that it received
         // datagrams from are certainly alive.
         let is_recent = |member: &Member| member.last_received_ms > self.now_ms - RECENT_SLOTS * self.slot_ms;
@@ -250,7 +250,7 @@
         } else {
             alive
         };
-        LiveEstimate { min: min.min(alive), likely: alive + suspect, max: self.view.len() - left }
+        LiveEstimate { min: min.min(alive), likely: alive + suspect, max: self.view.len() - leaving }
     }
 
     /// Whether a member is suspect, unknown, or gone without having announced its leave, or this gateway's own probes
@@ -338,7 +338,7 @@
         self.count_dropped(DropReason::UnknownSender);
     }
 
-    /// When [`Membership::tick`] is due.
+    /// When [`Membership::tick`] is due, by this gateway's clock.
     pub fn next_tick(&self) -> f64 {
         let mut due = (self.slot + 1) as f64 * self.slot_ms - self.phase_ms;
         for probe in &self.probes {
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -109,7 +109,7 @@
 
 impl Packet {
     /// Bytes left for entries.
-    pub(crate) fn room(&self) -> usize {
+    pub(crate) fn free_bytes(&self) -> usize {
         let head = postcard::to_allocvec(self).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
         // The length of the entry list may take one byte more than that of an empty list.
         (MAX_DATAGRAM_BYTES - FRAMING_BYTES).saturating_sub(head + 1)
