--- a/crates/edge/tests/drain.rs
+++ b/crates/edge/tests/drain.rs
@@ -1,6 +1,6 @@
-//! Complete shutdowns in virtual time: clients send requests throughout the grace period, servers work for a random time up to
-//! the deadline that they receive, and the process ends when [`drain`] returns. The checks use only what clients and servers
-//! recorded.
+//! Complete shutdowns in virtual time: clients send requests throughout the grace period, servers work for a random
+//! time up to the deadline that they receive, and the process ends when [`drain`] returns. The checks use only what
+//! clients and servers recorded.
 
 use bytes::Bytes;
 use nickeljunction_core::life::Answer;
@@ -26,8 +26,8 @@
 
 /// Time from the start of the shutdown to the end of the process, ms.
 const GRACE_MS: f64 = 6_000.0;
-/// Requests sent up to this time after the start of the shutdown may be broken off at its end if their servers are still
-/// working on them, ms.
+/// Requests sent up to this time after the start of the shutdown may be broken off at its end if their servers are
+/// still working on them, ms.
 const LONG_RUN_LIMIT_MS: f64 = 3_000.0;
 /// Longest delay of a server's response on the network, ms.
 const MAX_RESPONSE_DELAY_MS: f64 = 150.0;
@@ -154,12 +154,13 @@
     }
 }
 
-/// Simulates one shutdown. Returns the clients' records, the servers' runs by attempt id, and when the process ended, ms after
-/// the start of the shutdown.
+/// Simulates one shutdown. Returns the clients' records, the servers' runs by attempt id, and when the process ended,
+/// ms after the start of the shutdown.
 async fn simulate_shutdown(seed: u64) -> (Vec<ClientRecord>, BTreeMap<String, Run>, f64) {
     let wheel = Wheel::new(Clock::start());
     spawn_local(wheel.clone().run());
-    // Routes with a short and a longer target latency, and one whose requests may take much longer than the grace period.
+    // Routes with a short and a longer target latency, and one whose requests may take much longer than the grace
+    // period.
     let text = r#"{"config_version":3,"limits":{},"backends":{"a":{}},"routes":{
         "s":{"hostname":"h","path_prefix":"/s/","timeout_s":1.5,"target_latency_s":0.6,"backend":"a","no_auth":true},
         "m":{"hostname":"h","path_prefix":"/m/","timeout_s":3,"target_latency_s":1.2,"backend":"a","no_auth":true},
@@ -250,8 +251,8 @@
             assert!(
                 last_served("/s/") > 4_300.0 && last_served("/m/") > 3_700.0 && last_served("/l/") > 2_400.0
             );
-            // Only requests that were in flight at the start of the shutdown may be broken off, and only if their servers
-            // work until the end.
+            // Only requests that were in flight at the start of the shutdown may be broken off, and only if their
+            // servers work until the end.
             for (id, run) in runs.iter().filter(|(_, run)| run.ended.is_none()) {
                 assert!(run.started < 0.0 && id.starts_with("/l/"), "seed {seed}: {id} {run:?}");
                 assert!(
--- a/crates/edge/tests/frontend.rs
+++ b/crates/edge/tests/frontend.rs
@@ -1,5 +1,5 @@
-//! The frontend's client connections: order of responses, request and response bodies, API keys, admission, pacing, error
-//! statuses, time-outs, and which errors close the connection.
+//! The frontend's client connections: order of responses, request and response bodies, API keys, admission, pacing,
+//! error statuses, time-outs, and which errors close the connection.
 
 mod frontend_fixture;
 
@@ -125,7 +125,8 @@
     run_test(async {
         let fixture = FrontendFixture::new("");
         let part = || BodyPart::Data(Bytes::from_static(b"0123456789"));
-        // (Content-Length, number of 10-byte parts, whether an end follows, the start of the body that the client receives)
+        // (Content-Length, number of 10-byte parts, whether an end follows, the start of the body that the client
+        // receives)
         for (length, parts, ends, expected_body) in [
             (None, 2, true, "a\r\n0123456789\r\na\r\n0123456789\r\n0\r\n\r\n"),
             (None, 2, false, "a\r\n0123456789\r\na\r\n0123456789\r\n"),
@@ -492,8 +493,8 @@
         clients.truncate(60);
         settle().await;
         assert_eq!(fixture.admission.pacing.tenant_statuses()[0].waiting, 60);
-        let mut late_client = fixture.client();
-        send(&mut late_client, &authorized_request("GET", "/w/", "late")).await;
+        let mut new_client = fixture.client();
+        send(&mut new_client, &authorized_request("GET", "/w/", "new")).await;
         settle().await;
         assert_eq!(
             (fixture.admission.pacing.tenant_statuses()[0].waiting, fixture.proxy.attempt_ids().len()),
--- a/crates/edge/tests/frontend_shutdown.rs
+++ b/crates/edge/tests/frontend_shutdown.rs
@@ -1,5 +1,5 @@
-//! The frontend after the start of an orderly shutdown: which requests it accepts and refuses, which connections it closes,
-//! and what clients receive whose requests have no answer at the end.
+//! The frontend after the start of an orderly shutdown: which requests it accepts and refuses, which connections it
+//! closes, and what clients receive whose requests have no answer at the end.
 
 mod frontend_fixture;
 
--- a/crates/edge/tests/http_pipelining.rs
+++ b/crates/edge/tests/http_pipelining.rs
@@ -1,5 +1,6 @@
-//! Pipelined requests on one client connection: responses keep the order of the requests, and no request is dispatched twice,
-//! whichever of them fail, wherever the client disconnects, and wherever an orderly shutdown begins.
+//! Pipelined requests on one client connection: responses keep the order of the requests, and no request is
+//! dispatched twice, whichever of them fail, wherever the client disconnects, and wherever an orderly shutdown
+//! begins.
 
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::life::Answer;
@@ -91,8 +92,8 @@
         posts.all(|post| open.iter().map(id).all(|other| other >= post))
     }
 
-    /// Replies to the first or the last open exchange as `outcomes` says for its id, and with a complete response if they
-    /// don't. Returns whether there was an open exchange.
+    /// Replies to the first or the last open exchange as `outcomes` says for its id, and with a complete response if
+    /// they don't. Returns whether there was an open exchange.
     async fn reply_to_one(&self, last: bool, outcomes: &[Outcome]) -> bool {
         let exchange = {
             let mut open = self.proxy.open.borrow_mut();
@@ -186,8 +187,8 @@
 /// The status, the id and the body of a response.
 type Response = (u16, usize, String);
 
-/// Parses the bytes that a client received: the complete responses, and whether the last one closes the connection. A response
-/// that breaks off is left out. Panics at bytes that belong to no response.
+/// Parses the bytes that a client received: the complete responses, and whether the last one closes the connection. A
+/// response that breaks off is left out. Panics at bytes that belong to no response.
 fn parse_responses(received: &[u8], requests: &[Request]) -> (Vec<Response>, bool) {
     let (mut buffer, mut complete, mut closed) = (BytesMut::from(received), Vec::new(), false);
     while !buffer.is_empty() {
--- a/crates/edge/tests/proxy_fault_injection.rs
+++ b/crates/edge/tests/proxy_fault_injection.rs
@@ -1,6 +1,6 @@
-//! A [`Proxy`] under random faults: concurrent requests to servers that respond late, twice, with the wrong id, with errors or
-//! not at all, clients that disconnect, and shutdowns. The servers log each run; by this log the test checks that no client
-//! gets another request's response and that no request runs more often than it may.
+//! A [`Proxy`] under random faults: concurrent requests to servers that respond late, twice, with the wrong id, with
+//! errors or not at all, clients that disconnect, and shutdowns. The servers log each run; by this log the test
+//! checks that no client gets another request's response and that no request runs more often than it may.
 
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::RetrySafety;
--- a/crates/edge/tests/server_disconnects.rs
+++ b/crates/edge/tests/server_disconnects.rs
@@ -1,5 +1,6 @@
-//! Server connections that close, reset or stall at any byte of a request or of its response, over loopback: a request that
-//! must not run twice runs at most once, no client receives a truncated response, and the next request gets its own response.
+//! Server connections that close, reset or stall at any byte of a request or of its response, over loopback: a
+//! request that must not run twice runs at most once, no client receives a truncated response, and the next request
+//! gets its own response.
 
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::RetrySafety;
@@ -63,7 +64,8 @@
     longest_request: Cell<usize>,
 }
 
-/// How long after its deadline an answer may arrive on a busy machine, ms: far less than the time-out of any connection.
+/// How long after its deadline an answer may arrive on a busy machine, ms: far less than the time-out of any
+/// connection.
 const SCHEDULING_SLACK_MS: f64 = 2_000.0;
 const REQUEST_BODY: &[u8] = b"0123456789";
 
@@ -238,8 +240,8 @@
     }
 }
 
-/// Runs a case with a request on the connection that ends early, and another request after it. Returns the length of the
-/// longest request that a server received.
+/// Runs a case with a request on the connection that ends early, and another request after it. Returns the length of
+/// the longest request that a server received.
 async fn run_case(wheel: Wheel, case: Disconnect) -> usize {
     let fixture = Fixture::new(wheel, case).await;
     let (log, proxy) = (fixture.log.clone(), fixture.proxy.clone());
--- a/crates/edge/tests/shutdown_simulation/mod.rs
+++ b/crates/edge/tests/shutdown_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A simulated gateway process with frontend and proxy, its clients and its servers, over loopback sockets in virtual time. All
-//! tasks of the process end together, and the process may get no processor time while everything outside it goes on.
+//! A simulated gateway process with frontend and proxy, its clients and its servers, over loopback sockets in virtual
+//! time. All tasks of the process end together, and the process may get no processor time while everything outside it
+//! goes on.
 
 mod clients;
 mod servers;
@@ -68,8 +69,8 @@
     },
 }
 
-/// A configuration with routes with a short and a longer target latency, a route whose requests must not run twice, and one
-/// whose requests may take much longer than the grace period. `extra_timeout_ms` is added to their time-outs.
+/// A configuration with routes with a short and a longer target latency, a route whose requests must not run twice,
+/// and one whose requests may take much longer than the grace period. `extra_timeout_ms` is added to their time-outs.
 fn document(extra_timeout_ms: u32) -> Document {
     let route = |name: &str, route_type: &str, timeout_ms: u32, target_latency_ms: u32| {
         let timeout_s = f64::from(timeout_ms + extra_timeout_ms) / 1_000.0;
@@ -108,8 +109,8 @@
     }
 }
 
-/// The gateway process: serves until the first SIGTERM, then drains. Signals after that have no effect, but configurations are
-/// still applied.
+/// The gateway process: serves until the first SIGTERM, then drains. Signals after that have no effect, but
+/// configurations are still applied.
 async fn run_gateway(listener: TcpListener, seed: u64, mut events: mpsc::UnboundedReceiver<Event>) {
     let wheel = Wheel::new(Clock::start());
     spawn_local(wheel.clone().run());
--- a/crates/edge/tests/shutdown_simulation/servers.rs
+++ b/crates/edge/tests/shutdown_simulation/servers.rs
@@ -1,5 +1,5 @@
-//! Servers that work for a random time and reject some requests. Half of the servers stop with status 504 at the deadline that
-//! they receive, the others ignore it.
+//! Servers that work for a random time and reject some requests. Half of the servers stop with status 504 at the
+//! deadline that they receive, the others ignore it.
 
 use super::{sleep, SimulationClock};
 use bytes::BytesMut;
--- a/crates/edge/tests/shutdown_soak.rs
+++ b/crates/edge/tests/shutdown_soak.rs
@@ -1,5 +1,6 @@
-//! Random shutdowns under load: signals and configuration updates overlap, clients send requests until the process has ended,
-//! and the process may get no processor time for a while. The checks use only what clients and servers recorded.
+//! Random shutdowns under load: signals and configuration updates overlap, clients send requests until the process
+//! has ended, and the process may get no processor time for a while. The checks use only what clients and servers
+//! recorded.
 
 mod shutdown_simulation;
 
@@ -22,10 +23,11 @@
 const SERVERS: u64 = 8;
 /// When the first SIGTERM is sent, ms by the simulation clock.
 const SIGTERM_AT_MS: f64 = 1_000.0;
-/// If a connection ends sooner than this after its request was sent, the gateway may not have read the complete request, ms.
+/// If a connection ends sooner than this after its request was sent, the gateway may not have read the complete
+/// request, ms.
 const UNREAD_REQUEST_MS: f64 = 200.0;
-/// Requests sent up to this time after SIGTERM may be broken off in the last sixth of the grace period if servers are still
-/// working on them, ms.
+/// Requests sent up to this time after SIGTERM may be broken off in the last sixth of the grace period if servers are
+/// still working on them, ms.
 const LONG_RUN_LIMIT_MS: f64 = 3_000.0;
 
 /// The random events of one shutdown; times in ms by the simulation clock.
