--- a/crates/edge/src/core_client/claims.rs
+++ b/crates/edge/src/core_client/claims.rs
@@ -23,7 +23,7 @@
 }
 
 impl CoreClient {
-    /// The host to call after `failed` attempts: the leader first, then all core hosts in turn.
+    /// The host to call after `failed` attempts: the leader first, then all hosts that may lead, in turn.
     fn host_to_call(&self, failed: usize) -> Option<String> {
         let watcher = self.watcher.borrow();
         if let (0, Some(leader)) = (failed, watcher.leader()) {
--- a/crates/edge/src/frontend/connection.rs
+++ b/crates/edge/src/frontend/connection.rs
@@ -498,6 +498,7 @@
         }))
     }
 
+    /// Reads a body that is forwarded once it is complete; one longer than `MOST_WHOLE` is forwarded as it is received.
     fn read_whole(&mut self, mut whole: Box<Whole>) -> (Reading, bool) {
         loop {
             match whole.reader.next(&mut self.input) {
@@ -526,6 +527,7 @@
         }
     }
 
+    /// Reads a body and passes its parts to the request's handler.
     fn read_upload(&mut self, mut upload: Box<Upload>) -> (Reading, bool) {
         loop {
             if let (Some(sender), None) = (&upload.sender, &upload.capacity) {
@@ -577,6 +579,7 @@
         }
     }
 
+    /// Reads and drops the rest of a body.
     fn discard(&mut self, mut reader: BodyReader) -> (Reading, bool) {
         loop {
             match reader.next(&mut self.input) {
