--- a/crates/ctl/tests/pages.rs
+++ b/crates/ctl/tests/pages.rs
@@ -21,7 +21,8 @@
     let mut count = 0;
     for text in &texts {
         let text = text.split("#[cfg(test)]").next().unwrap();
-        let calls = ["LocalReply::new(", "LocalReply::refusal("].map(|call| text.split(call).skip(1).collect::<Vec<_>>());
+        let calls = ["LocalReply::new(", "LocalReply::refusal("]
+            .map(|call| text.split(call).skip(1).collect::<Vec<_>>());
         for call in calls.concat() {
             // Status and text; calls that hand on a variable have neither.
             let Some((status, rest)) = call.split_once(", \"") else { continue };
