--- a/crates/replica/examples/change_cost.rs
+++ b/crates/replica/examples/change_cost.rs
@@ -1,8 +1,8 @@
-//! What a change of the configuration costs, over documents of growing size: bytes on the log and to a gateway, processor
-//! time at the leader and at a gateway.
+//! Cost of a change of the configuration for documents of growing size: bytes on the log and to a gateway, and processor time
+//! at the leader and at a gateway.
 //!
-//! `cargo run --release -p nickeljunction-replica --example change_cost` prints one line a document. Each change is a PATCH
-//! of one route. Times are the least of the repeats, in ms; no time passes on the network or at a disk.
+//! `cargo run --release -p nickeljunction-replica --example change_cost` prints one line per document. Each change is a
+//! PATCH of one route. Times are the minimum of the repeats, in ms; the network and the disk take no time.
 
 use nickeljunction_consensus::{Restored, Tuning};
 use nickeljunction_messages::{Caller, GatewayInfo, Member, WatchAnswer, WatchCall};
@@ -26,9 +26,9 @@
     (3_300, 30_000),
     (3_300, 83_000),
 ];
-/// Changes by document.
+/// Changes per document.
 const REPEATS: usize = 9;
-/// Gateways that watch.
+/// Gateways with a watch call.
 const GATEWAYS: usize = 87;
 const BACKENDS: usize = 40;
 
@@ -55,7 +55,7 @@
     })
 }
 
-/// A core of one, whose disk writes at once.
+/// A core of one member, whose disk writes at once.
 struct Core {
     now: u64,
     replica: Replica,
@@ -64,7 +64,7 @@
 impl Core {
     fn new() -> Core {
         let me = Member { id: 7, host: "10.0.0.1".into() };
-        let place = MemberConfig {
+        let config = MemberConfig {
             name: "core-1".into(),
             host: me.host.clone(),
             zones: BTreeMap::from([("z1".into(), "r1".into())]),
@@ -72,7 +72,7 @@
             heartbeat_ms: 1_000,
         };
         let restored = Restored::bootstrap(me.clone(), vec![me]);
-        let replica = Replica::new(Rc::new(place), restored, Tuning::default(), 1, 1_000);
+        let replica = Replica::new(Rc::new(config), restored, Tuning::default(), 1, 1_000);
         let mut core = Core { now: 1_000, replica };
         while core.replica.leader_state().is_none() {
             core.now += 1;
@@ -82,7 +82,7 @@
         core
     }
 
-    /// Does something and carries out the writes that follow; all answers, and the bytes of the entries.
+    /// Runs `act` and carries out the writes that follow. Returns all answers, and the bytes of the entries.
     fn act<R>(&mut self, act: impl FnOnce(&mut Replica) -> R) -> (Vec<Answer>, usize) {
         act(&mut self.replica);
         let (mut answers, mut bytes) = (Vec::new(), 0);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes a change into force; the bytes of its entry.
+    /// Makes a change; returns the bytes of its entry.
     fn change(&mut self, patch: bool, base: u64, body: &Value) -> usize {
         let change = Change { patch, base: Some(base), body: body.to_string().into() };
         let now = self.now;
@@ -108,33 +108,34 @@
 
     fn watch(&mut self, call: &WatchCall) -> WatchAnswer {
         let held = self.replica.begin_watch(self.now, call).expect("it leads");
-        self.replica.answer_watch(self.now, call, &held).expect("it leads").expect("news")
+        self.replica.answer_watch(self.now, call, &held).expect("it leads").expect("changes")
     }
 }
 
-fn ask(copy: &WatchCache, gateway: usize) -> WatchCall {
+fn watch_call(cache: &WatchCache, gateway: usize) -> WatchCall {
     let name = format!("edge-{gateway}");
     let line =
         GatewayInfo { name: name.clone(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
-    copy.watch_call(Caller::Gateway, &name, 7, Some(line), 1_000)
+    cache.watch_call(Caller::Gateway, &name, 7, Some(line), 1_000)
 }
 
-/// What a gateway does with an answer.
-fn gateway(copy: &mut WatchCache, text: &[u8]) {
+/// Applies an answer as a gateway does.
+fn apply_at_gateway(cache: &mut WatchCache, text: &[u8]) {
     let answer: WatchAnswer = serde_json::from_slice(text).expect("an answer");
-    assert!(copy.apply(answer).expect("it fits").config);
-    let config = Document::view(&copy.catalog().config.as_ref().expect("one").document).expect("checked");
+    assert!(cache.apply(answer).expect("it is newer").config);
+    let config =
+        Document::view(&cache.catalog().config.as_ref().expect("a configuration").document).expect("valid");
     black_box(Table::of(&config));
 }
 
-/// Least time of all repeats, ms.
-struct Least(f64);
+/// Minimum time of all repeats, ms.
+struct MinTime(f64);
 
-impl Least {
-    fn of<R>(&mut self, act: impl FnOnce() -> R) -> R {
-        let begun = Instant::now();
+impl MinTime {
+    fn measure<R>(&mut self, act: impl FnOnce() -> R) -> R {
+        let began = Instant::now();
         let result = act();
-        self.0 = self.0.min(begun.elapsed().as_secs_f64() * 1_000.0);
+        self.0 = self.0.min(began.elapsed().as_secs_f64() * 1_000.0);
         result
     }
 }
@@ -143,39 +144,40 @@
     let doc = document(routes, tenants);
     let mut core = Core::new();
     let whole_entry = core.change(false, 0, &doc);
-    let mut copy = WatchCache::new();
-    let first = serde_json::to_vec(&core.watch(&ask(&copy, 0))).expect("JSON");
-    gateway(&mut copy, &first);
-    let [mut check, mut tell, mut apply, mut compile] = [(); 4].map(|()| Least(f64::INFINITY));
+    let mut cache = WatchCache::new();
+    let first = serde_json::to_vec(&core.watch(&watch_call(&cache, 0))).expect("JSON");
+    apply_at_gateway(&mut cache, &first);
+    let [mut accept, mut answer_all, mut apply, mut compile] = [(); 4].map(|()| MinTime(f64::INFINITY));
     let (mut entry, mut answer) = (0, Vec::new());
     for version in 1..=REPEATS as u64 {
         let patch =
             json!({"config_version": version + 1, "upsert": {"routes": {"route5": route(5, version + 3)}}});
-        entry = check.of(|| core.change(true, version, &patch));
-        let calls: Vec<WatchCall> = (0..GATEWAYS).map(|gateway| ask(&copy, gateway)).collect();
-        tell.of(|| {
+        entry = accept.measure(|| core.change(true, version, &patch));
+        let calls: Vec<WatchCall> = (0..GATEWAYS).map(|gateway| watch_call(&cache, gateway)).collect();
+        answer_all.measure(|| {
             for call in &calls {
                 answer = serde_json::to_vec(&core.watch(call)).expect("JSON");
             }
         });
-        apply.of(|| gateway(&mut copy, &answer));
-        let config = Document::view(&copy.catalog().config.as_ref().expect("one").document).expect("checked");
-        compile.of(|| black_box(Table::of(&config)));
+        apply.measure(|| apply_at_gateway(&mut cache, &answer));
+        let config = Document::view(&cache.catalog().config.as_ref().expect("a configuration").document)
+            .expect("valid");
+        compile.measure(|| black_box(Table::of(&config)));
     }
     println!(
         "| {routes} | {tenants} | {} | {whole_entry} | {entry} | {} | {} | {:.2} | {:.2} | {:.2} | {:.2} |",
         doc.to_string().len(),
         first.len(),
         answer.len(),
-        check.0,
-        tell.0,
+        accept.0,
+        answer_all.0,
         apply.0,
         compile.0,
     );
 }
 
 fn main() {
-    println!("| routes | tenants | document, B | entry whole, B | entry of a patch, B | answer whole, B | answer of a change, B | leader: take a change, ms | leader: tell {GATEWAYS} gateways, ms | gateway: in force, ms | of that the table, ms |");
+    println!("| routes | tenants | document, B | entry whole, B | entry of a patch, B | answer whole, B | answer of a change, B | leader: accept a change, ms | leader: answer {GATEWAYS} gateways, ms | gateway: apply it, ms | of that the table, ms |");
     println!("|---|---|---|---|---|---|---|---|---|---|---|");
     for (routes, tenants) in DOCUMENTS {
         measure(routes, tenants);
--- a/crates/replica/src/effects.rs
+++ b/crates/replica/src/effects.rs
@@ -64,6 +64,8 @@
 #[allow(missing_docs)] // The names of the fields are clear by themselves.
 pub enum Event {
     /// This member leads from now on, with this many known servers and gateways and this version of the configuration.
+    /// `logged_gateways`: gateway processes on the log; `held_ms`: longest time for which the counter
+    /// withholds units that an earlier leader may have lent to them.
     LeadBegun { term: u64, version: u64, servers: usize, gateways: u32, logged_gateways: usize, held_ms: u64 },
     /// This member no longer leads.
     LeadEnded { term: u64 },
--- a/crates/replica/tests/change_history.rs
+++ b/crates/replica/tests/change_history.rs
@@ -1,4 +1,4 @@
-//! What is remembered of operators' changes: repeats long after, its end, and snapshots of former programs.
+//! The history of accepted changes: late repeats, its capacity, and snapshots of older program versions.
 
 mod single_member;
 
@@ -9,12 +9,12 @@
 use serde_json::{json, Value};
 use single_member::{document, patch, SingleMember};
 
-/// Changes of a day that is planned for.
-const DAY: u64 = 4_300;
-/// Versions climb by so much in these tests.
+/// The target for changes a day.
+const CHANGES_PER_DAY: u64 = 4_300;
+/// Distance between two versions in these tests.
 const STEP: u64 = 3;
 
-/// Log entry of a change whose digest is its version's.
+/// The log entry of a change whose digest is [`digest`] of its version.
 fn entry(base: u64, version: u64) -> Entry {
     let digest = call_digest("PATCH", Some(base), patch(version).to_string().as_bytes());
     Entry::Put { base, version, digest, doc: document(version) }
@@ -24,18 +24,18 @@
     call_digest("PATCH", Some(version - STEP), patch(version).to_string().as_bytes())
 }
 
-/// A state after so many changes, `STEP` apart.
+/// A state after this many changes, with versions `STEP` apart.
 fn state_after(changes: u64) -> ReplicatedState {
     let mut state = ReplicatedState::default();
     for number in 0..changes {
-        let taken = state.apply(entry(number * STEP, (number + 1) * STEP));
-        assert_eq!(taken, Outcome::Taken);
+        let outcome = state.apply(entry(number * STEP, (number + 1) * STEP));
+        assert_eq!(outcome, Outcome::Taken);
     }
     state
 }
 
 #[test]
-fn a_change_is_known_after_thousands_of_later_ones_and_a_snapshot_and_then_forgotten_openly() {
+fn a_change_is_remembered_up_to_the_capacity_and_then_reported_as_forgotten() {
     let most = MAX_CHANGES as u64;
     let full = state_after(most);
     let mut state = ReplicatedState::from_text(&full.to_text()).expect("its own text");
@@ -45,12 +45,12 @@
         assert_eq!(
             state.change_status(version, "another"),
             ChangeStatus::NotTaken,
-            "the same number, another change"
+            "another change with the same version"
         );
         assert_eq!(
             state.change_status(version - 1, &digest(version)),
             ChangeStatus::NotTaken,
-            "a number between two"
+            "a version between two changes"
         );
     }
     state.apply(entry(most * STEP, (most + 1) * STEP));
@@ -59,62 +59,69 @@
         assert_eq!(state.change_status(version, &digest(STEP)), ChangeStatus::Forgotten, "version {version}");
     }
     assert_eq!(state.change_status(2 * STEP, &digest(2 * STEP)), ChangeStatus::Taken);
-    assert_eq!(state.change_status(STEP + 1, "any"), ChangeStatus::NotTaken, "above all that was forgotten");
+    assert_eq!(state.change_status(STEP + 1, "any"), ChangeStatus::NotTaken, "above all forgotten versions");
 }
 
 #[test]
-fn a_days_first_change_is_known_at_its_end() {
-    let day = ReplicatedState::from_text(&state_after(DAY).to_text()).expect("its own text");
+fn the_first_change_of_a_day_is_remembered_at_its_end() {
+    let day = ReplicatedState::from_text(&state_after(CHANGES_PER_DAY).to_text()).expect("its own text");
     assert_eq!(day.change_status(STEP, &digest(STEP)), ChangeStatus::Taken);
 }
 
 #[test]
-fn operators_get_200_within_the_memory_and_no_refusal_beyond_it() {
+fn repeats_are_accepted_within_the_history_and_not_refused_beyond_it() {
     let most = MAX_CHANGES as u64;
     let mut core = SingleMember::new(&state_after(most - 1).to_text(), &[]);
     let newest = (most - 1) * STEP;
-    assert_eq!(core.send(true, 0, &patch(STEP)), Answer::Accepted, "the very first, its base long gone");
-    let in_place = |version| Answer::Conflict(Some(version));
-    assert_eq!(core.send(false, 0, &document(STEP)), in_place(newest), "a whole one of that number");
+    assert_eq!(
+        core.send(true, 0, &patch(STEP)),
+        Answer::Accepted,
+        "the first change, whose base is long replaced"
+    );
+    let conflict = |version| Answer::Conflict(Some(version));
+    assert_eq!(core.send(false, 0, &document(STEP)), conflict(newest), "a whole document with that version");
     assert_eq!(core.send(true, newest, &patch(newest + STEP)), Answer::Accepted);
     assert_eq!(core.send(true, newest + STEP, &patch(newest + 2 * STEP)), Answer::Accepted);
-    // The oldest is forgotten now.
+    // The oldest change is now forgotten.
     for body in [patch(STEP), patch(STEP - 1)] {
-        let version = body["config_version"].as_u64().expect("a number");
+        let version = body["config_version"].as_u64().expect("a version");
         assert_eq!(core.send(true, 0, &body), Answer::Forgotten(version));
     }
     assert_eq!(core.send(false, 0, &document(1)), Answer::Forgotten(1));
-    assert_eq!(core.send(true, STEP, &patch(2 * STEP)), Answer::Accepted, "the oldest that is remembered");
-    // What is certain is said all the same.
-    assert_eq!(core.send(true, 0, &patch(STEP + 1)), in_place(newest + 2 * STEP));
+    assert_eq!(core.send(true, STEP, &patch(2 * STEP)), Answer::Accepted, "the oldest remembered change");
+    // Changes that certainly were not accepted are still refused as such.
+    assert_eq!(core.send(true, 0, &patch(STEP + 1)), conflict(newest + 2 * STEP));
     let invalid = json!({"config_version": 1, "routes": {"r": {}}});
-    assert!(matches!(core.send(false, 0, &invalid), Answer::Invalid(_)), "no program took it");
+    assert!(matches!(core.send(false, 0, &invalid), Answer::Invalid(_)), "no program version accepted it");
     let not_above = core.send(true, newest + 2 * STEP, &patch(1));
-    assert!(matches!(not_above, Answer::Invalid(_)), "on the newest, and not above it: {not_above:?}");
+    assert!(
+        matches!(not_above, Answer::Invalid(_)),
+        "on the newest version, but not above it: {not_above:?}"
+    );
 }
 
 #[test]
-fn a_repeat_of_what_an_older_program_took_is_known_before_it_is_judged() {
-    // Today's rules want a weight above 0.
+fn a_repeat_of_a_change_that_is_invalid_by_now_is_recognised_before_validation() {
+    // Today's rules require at least one attempt.
     let mut body = document(2);
     body["routes"]["r"]["max_attempts"] = json!(0);
     let digest = call_digest("PUT", Some(0), body.to_string().as_bytes());
-    let taken = Entry::Put { base: 0, version: 2, digest, doc: body.clone() };
-    let mut core = SingleMember::new("", &[serde_json::to_string(&taken).expect("JSON")]);
+    let accepted = Entry::Put { base: 0, version: 2, digest, doc: body.clone() };
+    let mut core = SingleMember::new("", &[serde_json::to_string(&accepted).expect("JSON")]);
     assert_eq!(core.replica.state().version(), 2);
     assert_eq!(core.send(false, 0, &body), Answer::Accepted);
-    assert!(matches!(core.send(false, 2, &body), Answer::Invalid(_)), "another order");
+    assert!(matches!(core.send(false, 2, &body), Answer::Invalid(_)), "another change");
     let change = Change {
         patch: false,
         base: Some(0),
         body: br#"{"config_version":2,"config_version":2}"#[..].into(),
     };
     core.replica.change_config(core.now, change);
-    assert!(matches!(core.write()[..], [Answer::Invalid(_)]), "a number that stands twice");
+    assert!(matches!(core.write()[..], [Answer::Invalid(_)]), "a duplicate version");
 }
 
-/// As a former program wrote it, with so many changes.
-fn former(changes: u64, first: u64) -> String {
+/// A snapshot in the format of older program versions, with this many accepted changes.
+fn legacy_snapshot(changes: u64, first: u64) -> String {
     let version = |number| (first + number) * STEP;
     let taken: Vec<Value> = (0..changes)
         .map(|number| json!({"version": version(number), "digest": digest(version(number))}))
@@ -125,34 +132,42 @@
 }
 
 #[test]
-fn a_former_programs_snapshot_opens_with_all_that_it_remembered_and_no_more() {
-    let full = ReplicatedState::from_text(&former(64, 100)).expect("a former text");
+fn a_legacy_snapshot_opens_with_all_its_accepted_changes_and_no_others() {
+    let full = ReplicatedState::from_text(&legacy_snapshot(64, 100)).expect("a legacy snapshot");
     assert_eq!((full.version(), full.gateways().len()), (163 * STEP, 1));
     for version in (100..164).map(|number| number * STEP) {
         assert_eq!(full.change_status(version, &digest(version)), ChangeStatus::Taken);
         assert_eq!(full.change_status(version, "another"), ChangeStatus::NotTaken);
     }
-    assert_eq!(full.change_status(99 * STEP, &digest(99 * STEP)), ChangeStatus::Forgotten, "it kept only 64");
-    let all = ReplicatedState::from_text(&former(63, 1)).expect("a former text");
-    assert_eq!(all.change_status(STEP - 1, "any"), ChangeStatus::NotTaken, "it had forgotten nothing");
+    assert_eq!(
+        full.change_status(99 * STEP, &digest(99 * STEP)),
+        ChangeStatus::Forgotten,
+        "it has only 64 changes"
+    );
+    let below_capacity = ReplicatedState::from_text(&legacy_snapshot(63, 1)).expect("a legacy snapshot");
+    assert_eq!(
+        below_capacity.change_status(STEP - 1, "any"),
+        ChangeStatus::NotTaken,
+        "nothing was forgotten"
+    );
     let text = full.to_text();
     assert_eq!(ReplicatedState::from_text(&text).expect("its own text"), full);
-    // A former program wants the list, and opens it without its repeats.
+    // Older program versions require the list; they can open the snapshot, but don't recognise repeats.
     let value: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(value["taken"], json!([]));
 }
 
 #[test]
-fn a_snapshot_with_a_broken_record_is_not_taken_for_whole() {
+fn a_snapshot_with_a_broken_record_is_refused() {
     let text = state_after(3).to_text();
-    for (good, bad) in [
+    for (valid, broken) in [
         ("3,", "x,"),
         ("3,", "99999999999999999999,"),
         ("\"records\":\"", "\"records\":\"!"),
         ("3,\"", "3,A\""),
     ] {
-        assert!(text.contains(good), "{text}");
-        assert!(ReplicatedState::from_text(&text.replacen(good, bad, 1)).is_err(), "{bad}");
+        assert!(text.contains(valid), "{text}");
+        assert!(ReplicatedState::from_text(&text.replacen(valid, broken, 1)).is_err(), "{broken}");
     }
 }
 
--- a/crates/replica/tests/claims.rs
+++ b/crates/replica/tests/claims.rs
@@ -18,8 +18,8 @@
     ClaimCall { operation: OperationId(operation), claimant: claimant(number), released: None }
 }
 
-/// A state that remembers so many operations.
-fn remembering(operations: u128) -> ReplicatedState {
+/// A state with this many claimed operations.
+fn state_with(operations: u128) -> ReplicatedState {
     let claims = (0..operations)
         .map(|operation| Claim { operation: OperationId(operation << 64), claimant: claimant(1) })
         .collect();
@@ -28,123 +28,123 @@
     state
 }
 
-fn begin(alone: &mut SingleMember, call: &ClaimCall) -> ClaimReply {
-    alone.replica.claim(alone.now, call).expect("it leads")
+fn begin(member: &mut SingleMember, call: &ClaimCall) -> ClaimReply {
+    member.replica.claim(member.now, call).expect("it leads")
 }
 
-/// Lets time pass; its disk goes on writing.
-fn pass(alone: &mut SingleMember, ms: u64) -> Vec<Answer> {
-    let end = alone.now + ms;
+/// Runs the member for this time; its disk goes on writing. Returns the answers.
+fn run(member: &mut SingleMember, ms: u64) -> Vec<Answer> {
+    let end = member.now + ms;
     let mut answers = Vec::new();
-    while alone.now < end {
-        alone.now = alone.replica.next_wake().clamp(alone.now + 1, end);
-        alone.replica.tick(alone.now);
-        answers.extend(alone.write());
+    while member.now < end {
+        member.now = member.replica.next_wake().clamp(member.now + 1, end);
+        member.replica.tick(member.now);
+        answers.extend(member.write());
     }
     answers
 }
 
 #[test]
-fn a_claim_is_granted_once_it_is_on_the_disk_and_not_before() {
-    let mut alone = SingleMember::new("", &[]);
-    assert!(matches!(begin(&mut alone, &claim(1, 1)), ClaimReply::Pending(_)));
-    assert_eq!(alone.carry_out(), []);
-    // It isn't said to be held either: the claim may get lost.
-    assert!(matches!(begin(&mut alone, &claim(1, 2)), ClaimReply::Pending(_)));
+fn a_claim_is_granted_only_once_it_is_on_the_disk() {
+    let mut member = SingleMember::new("", &[]);
+    assert!(matches!(begin(&mut member, &claim(1, 1)), ClaimReply::Pending(_)));
+    assert_eq!(member.carry_out(), []);
+    // Until then a second claim is not refused either, as the first may get lost.
+    assert!(matches!(begin(&mut member, &claim(1, 2)), ClaimReply::Pending(_)));
     let [granted, held] = [ClaimAnswer::Granted, ClaimAnswer::Held(claimant(1))].map(Answer::Claim);
-    assert_eq!(alone.write(), [granted]);
-    assert_eq!(pass(&mut alone, 10), [held]);
-    assert_eq!(begin(&mut alone, &claim(1, 3)), ClaimReply::Immediate(ClaimAnswer::Held(claimant(1))));
+    assert_eq!(member.write(), [granted]);
+    assert_eq!(run(&mut member, 10), [held]);
+    assert_eq!(begin(&mut member, &claim(1, 3)), ClaimReply::Immediate(ClaimAnswer::Held(claimant(1))));
 }
 
 #[test]
-fn claims_that_come_while_an_entry_is_under_way_share_the_next_one() {
-    let mut alone = SingleMember::new("", &[]);
-    let commit = alone.replica.consensus().commit();
+fn claims_that_arrive_while_an_entry_is_in_flight_share_the_next_one() {
+    let mut member = SingleMember::new("", &[]);
+    let commit = member.replica.consensus().commit();
     for operation in 0..100 {
-        begin(&mut alone, &claim(operation, 1));
+        begin(&mut member, &claim(operation, 1));
     }
-    assert_eq!((alone.write().len(), pass(&mut alone, 10).len()), (1, 99));
-    assert_eq!(alone.replica.consensus().commit(), commit + 2);
+    assert_eq!((member.write().len(), run(&mut member, 10).len()), (1, 99));
+    assert_eq!(member.replica.consensus().commit(), commit + 2);
 }
 
 #[test]
-fn an_entry_of_claims_wakes_no_held_call() {
-    let mut alone = SingleMember::new("", &[]);
-    begin(&mut alone, &claim(1, 1));
-    let effects = alone.replica.take_effects();
+fn an_entry_of_claims_wakes_no_held_calls() {
+    let mut member = SingleMember::new("", &[]);
+    begin(&mut member, &claim(1, 1));
+    let effects = member.replica.take_effects();
     assert!(!effects.changed);
-    effects.writes.iter().for_each(|write| alone.replica.written(alone.now, write.ticket, true));
-    let effects = alone.replica.take_effects();
+    effects.writes.iter().for_each(|write| member.replica.written(member.now, write.ticket, true));
+    let effects = member.replica.take_effects();
     assert_eq!(effects.answers.len(), 1);
     assert!(!effects.changed);
 }
 
 #[test]
-fn a_claim_that_the_log_does_not_take_in_time_is_not_known_to_be_granted() {
-    let mut alone = SingleMember::new("", &[]);
-    begin(&mut alone, &claim(1, 1));
-    begin(&mut alone, &claim(2, 1));
-    alone.carry_out();
-    alone.now += 600;
-    alone.replica.tick(alone.now);
-    assert_eq!(alone.carry_out(), [Answer::Unknown, Answer::Unknown]);
-    // It got there after all: whoever repeats it is granted it, and nobody else.
-    alone.write();
-    begin(&mut alone, &claim(1, 1));
-    assert_eq!(alone.write(), [Answer::Claim(ClaimAnswer::Granted)]);
-    assert_eq!(begin(&mut alone, &claim(1, 2)), ClaimReply::Immediate(ClaimAnswer::Held(claimant(1))));
+fn a_claim_that_is_not_committed_in_time_is_answered_as_unknown() {
+    let mut member = SingleMember::new("", &[]);
+    begin(&mut member, &claim(1, 1));
+    begin(&mut member, &claim(2, 1));
+    member.carry_out();
+    member.now += 600;
+    member.replica.tick(member.now);
+    assert_eq!(member.carry_out(), [Answer::Unknown, Answer::Unknown]);
+    // The entry is committed later: a repeat is granted, and no other claim.
+    member.write();
+    begin(&mut member, &claim(1, 1));
+    assert_eq!(member.write(), [Answer::Claim(ClaimAnswer::Granted)]);
+    assert_eq!(begin(&mut member, &claim(1, 2)), ClaimReply::Immediate(ClaimAnswer::Held(claimant(1))));
 }
 
 #[test]
 fn an_operation_is_remembered_for_the_window_and_then_forgotten() {
-    let mut alone = SingleMember::new("", &[]);
-    begin(&mut alone, &claim(1, 1));
-    alone.write();
-    pass(&mut alone, 60_000 + RETENTION_MARGIN_MS);
-    assert_eq!(alone.replica.state().operations().operation_count(), 1);
-    // A quarter of the window until it is closed, and some looks.
-    pass(&mut alone, 15_000 + 1_000);
-    assert_eq!(alone.replica.state().operations().record_count(), 0);
+    let mut member = SingleMember::new("", &[]);
+    begin(&mut member, &claim(1, 1));
+    member.write();
+    run(&mut member, 60_000 + RETENTION_MARGIN_MS);
+    assert_eq!(member.replica.state().operations().operation_count(), 1);
+    // Its generation is closed after a quarter of the window, and checks take place at intervals.
+    run(&mut member, 15_000 + 1_000);
+    assert_eq!(member.replica.state().operations().record_count(), 0);
 }
 
 #[test]
-fn a_new_leader_measures_from_its_own_beginning() {
-    let mut state = remembering(3);
+fn a_new_leader_counts_the_age_of_generations_from_its_own_start() {
+    let mut state = state_with(3);
     state.apply(Entry::Operations(OperationsEntry { close: Some(0), ..OperationsEntry::default() }));
-    let mut alone = SingleMember::new(&state.to_text(), &[]);
-    pass(&mut alone, 60_000 + RETENTION_MARGIN_MS - 1_000);
-    assert_eq!(alone.replica.state().operations().operation_count(), 3);
-    pass(&mut alone, 2_000);
-    assert_eq!(alone.replica.state().operations().operation_count(), 0);
+    let mut member = SingleMember::new(&state.to_text(), &[]);
+    run(&mut member, 60_000 + RETENTION_MARGIN_MS - 1_000);
+    assert_eq!(member.replica.state().operations().operation_count(), 3);
+    run(&mut member, 2_000);
+    assert_eq!(member.replica.state().operations().operation_count(), 0);
 }
 
 #[test]
-fn a_state_without_operations_is_written_as_before() {
+fn a_state_without_operations_keeps_the_old_format() {
     let state = ReplicatedState::default();
     assert!(!state.to_text().contains("operations"));
-    let remembering = remembering(100);
-    assert_eq!(ReplicatedState::from_text(&remembering.to_text()).expect("its own text"), remembering);
+    let claimed = state_with(100);
+    assert_eq!(ReplicatedState::from_text(&claimed.to_text()).expect("its own text"), claimed);
 }
 
 #[test]
-fn a_large_table_is_not_written_anew_for_every_few_claims() {
-    let state = remembering(30_000);
+fn no_snapshot_of_a_large_table_is_taken_for_every_few_claims() {
+    let state = state_with(30_000);
     let bytes = state.to_text().len();
-    let mut alone = SingleMember::new(&state.to_text(), &[]);
+    let mut member = SingleMember::new(&state.to_text(), &[]);
     let mut snapshots = 0;
     for operation in 0..9_000 {
-        let before = alone.replica.applied_since_snapshot();
-        begin(&mut alone, &claim(operation, 1));
-        pass(&mut alone, 10);
-        snapshots += usize::from(alone.replica.applied_since_snapshot() < before);
+        let before = member.replica.applied_since_snapshot();
+        begin(&mut member, &claim(operation, 1));
+        run(&mut member, 10);
+        snapshots += usize::from(member.replica.applied_since_snapshot() < before);
     }
     println!("{snapshots} snapshots of {bytes} bytes and more in 9,000 entries");
     assert!((1..=3).contains(&snapshots), "{snapshots} snapshots of {bytes} bytes");
 }
 
-/// The held call of the gateway whose process has the life of [`claimant`].
-fn watch() -> WatchCall {
+/// A watch call of the gateway process that made the claims of [`claimant`].
+fn watch_call() -> WatchCall {
     let line =
         GatewayInfo { name: "edge".into(), front: "10.1.0.1:80".into(), zone: "z1".into(), ready: true };
     WatchCall {
@@ -166,29 +166,29 @@
 
 #[test]
 fn operators_see_who_holds_an_operation_and_when_it_is_forgotten() {
-    let mut alone = SingleMember::new("", &[]);
-    let state = |alone: &SingleMember| alone.replica.operation_view(alone.now, OperationId(1)).state;
-    assert_eq!(state(&alone), "unclaimed");
-    begin(&mut alone, &claim(1, 4));
-    assert_eq!(alone.replica.operations_view(alone.now).waiting, 0, "its entry is under way");
-    alone.write();
-    assert_eq!(state(&alone), "holder_unknown");
-
-    let held = alone.replica.begin_watch(alone.now, &watch()).expect("it leads");
-    let view = alone.replica.operation_view(alone.now, OperationId(1));
+    let mut member = SingleMember::new("", &[]);
+    let state = |member: &SingleMember| member.replica.operation_view(member.now, OperationId(1)).state;
+    assert_eq!(state(&member), "unclaimed");
+    begin(&mut member, &claim(1, 4));
+    assert_eq!(member.replica.operations_view(member.now).waiting, 0, "its entry is in flight");
+    member.write();
+    assert_eq!(state(&member), "holder_unknown");
+
+    let held = member.replica.begin_watch(member.now, &watch_call()).expect("it leads");
+    let view = member.replica.operation_view(member.now, OperationId(1));
     let claim = view.claim.expect("a claim");
     assert_eq!((view.state, claim.number, claim.gateway.as_deref()), ("held", 4, Some("edge")));
     assert_eq!((claim.granted.closed_ms, claim.granted.claims), (None, 1), "in the open generation");
-    alone.replica.watch_disconnected(alone.now, &watch(), &held);
-    pass(&mut alone, 20_000);
-    assert_eq!(state(&alone), "holder_away");
+    member.replica.watch_disconnected(member.now, &watch_call(), &held);
+    run(&mut member, 20_000);
+    assert_eq!(state(&member), "holder_away");
 
-    let all = alone.replica.operations_view(alone.now);
-    assert_eq!((all.remembered, all.claims, all.most_claims, all.generations), (1, 1, MAX_RECORDS, 2));
-    let [closed, open] = &all.oldest[..] else { panic!("{all:?}") };
+    let view = member.replica.operations_view(member.now);
+    assert_eq!((view.remembered, view.claims, view.most_claims, view.generations), (1, 1, MAX_RECORDS, 2));
+    let [closed, open] = &view.oldest[..] else { panic!("{view:?}") };
     let (since, until) = (closed.closed_ms.expect("closed"), closed.forgotten_in_ms.expect("closed"));
     assert!((1..20_000).contains(&since) && since + until == 60_000 + RETENTION_MARGIN_MS, "{closed:?}");
     assert_eq!((open.claims, open.closed_ms), (0, None));
-    pass(&mut alone, until + 1_000);
-    assert_eq!(state(&alone), "unclaimed");
+    run(&mut member, until + 1_000);
+    assert_eq!(state(&member), "unclaimed");
 }
--- a/crates/replica/tests/cluster/mod.rs
+++ b/crates/replica/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Three members with disks that take their time and lines of a given rate, on a fake clock: one is away for a while and
-//! comes back while changes go on. Used by the tests and by the example `catch_up`.
+//! Three members on a simulated clock, with slow disks and links of a given rate: one is down for a while and catches up
+//! while changes go on. Used by the tests and by the example `catch_up`.
 
 #![allow(dead_code, missing_docs)]
 
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 
 pub const MEMBERS: usize = 3;
-/// One way, ms.
-const WAY_MS: u64 = 2;
+/// One-way latency, ms.
+const ONE_WAY_MS: u64 = 2;
 
 fn host(node: usize) -> String {
     format!("10.0.0.{}", node + 1)
@@ -38,102 +38,105 @@
     json!({"config_version": 1, "backends": {"b": {}}, "routes": routes})
 }
 
-/// What happens at a time.
+/// A scheduled event.
 enum Due {
-    /// A call with these messages is over; they arrived, or the call was given up.
+    /// A call with messages ends. `arrived`: the messages, or `None` if the call has timed out.
     Call { from: usize, to: usize, lane: Lane, arrived: Option<Vec<Envelope>> },
-    /// A write is on the disk, or failed; of this life of the member.
-    Written { node: usize, life: u32, write: Box<Write> },
+    /// A write of this run of the member's process ends.
+    Written { node: usize, run: u32, write: Box<Write> },
 }
 
 struct Node {
     replica: Option<Replica>,
-    life: u32,
+    run: u32,
     disk: MemoryLogStore,
     disk_ms: u64,
     writing: VecDeque<Write>,
-    /// Version in this life; it only rises.
+    /// Version in this run; it only rises.
     version: u64,
 }
 
-/// A member's way back.
+/// How a member caught up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Caught {
-    /// From its start until it had all that was acknowledged before its start.
+pub struct CatchUp {
+    /// From the start until the member had every change acknowledged before, ms.
     pub ms: u64,
-    /// What was sent to it within that time.
+    /// Bytes sent to it in that time.
     pub bytes: usize,
-    /// A snapshot was needed.
+    /// Whether a snapshot was sent.
     pub by_snapshot: bool,
 }
 
 pub struct Cluster {
     pub now: u64,
     nodes: Vec<Node>,
+    /// Scheduled events by time and sequence number.
     due: BTreeMap<(u64, u64), Due>,
-    number: u64,
+    last_number: u64,
     outboxes: BTreeMap<(usize, usize), Outbox>,
-    /// Until when each line is in use, by lane.
+    /// Until when each link is in use, by lane.
     busy: BTreeMap<(usize, usize, Lane), u64>,
-    /// Bytes a ms to and from this member; the others' lines have no bound.
-    pub thin: Option<(usize, usize)>,
+    /// A member and the rate of its links, bytes per ms; the other links are unlimited.
+    pub slow_link: Option<(usize, usize)>,
+    /// Members without links to the others.
     pub cut: BTreeSet<usize>,
     answers: BTreeMap<(usize, Ticket), Answer>,
-    /// Newest version that was acknowledged.
+    /// Newest acknowledged version.
     pub acked: u64,
     sent: BTreeMap<usize, usize>,
     snapshots: BTreeMap<usize, usize>,
-    /// Snapshots that went to each, to be sent once more.
-    pub kept: Vec<(usize, Envelope)>,
+    /// Snapshots that were sent, by receiver, for tests that deliver them again.
+    pub sent_snapshots: Vec<(usize, Envelope)>,
+    /// Members that became the leader, and when.
     pub leads: Vec<(usize, u64)>,
-    /// Bytes more of each patch.
-    pub more: usize,
+    /// Bytes of padding in each patch.
+    pub padding: usize,
     seed: u64,
 }
 
 impl Cluster {
-    /// Three members that lead, with a document of so many routes in force.
+    /// Three members with a leader, and a document with this many routes in force.
     pub fn new(seed: u64, routes: usize) -> Cluster {
         Cluster::large(seed, routes, 0)
     }
 
-    /// The same; the document has so many bytes more, in a member of no meaning.
-    pub fn large(seed: u64, routes: usize, more: usize) -> Cluster {
+    /// As [`Cluster::new`], with this many bytes of padding in the document.
+    pub fn large(seed: u64, routes: usize, padding: usize) -> Cluster {
         let node = |_| Node {
             replica: None,
-            life: 0,
+            run: 0,
             disk: MemoryLogStore::new(),
             disk_ms: 3,
             writing: VecDeque::new(),
             version: 0,
         };
-        let mut world = Cluster {
+        let mut cluster = Cluster {
             now: 1_000,
             nodes: (0..MEMBERS).map(node).collect(),
             due: BTreeMap::new(),
-            number: 0,
+            last_number: 0,
             outboxes: BTreeMap::new(),
             busy: BTreeMap::new(),
-            thin: None,
+            slow_link: None,
             cut: BTreeSet::new(),
             answers: BTreeMap::new(),
             acked: 0,
             sent: BTreeMap::new(),
             snapshots: BTreeMap::new(),
-            kept: Vec::new(),
+            sent_snapshots: Vec::new(),
             leads: Vec::new(),
-            more: 0,
+            padding: 0,
             seed,
         };
-        (0..MEMBERS).for_each(|node| world.start(node));
+        (0..MEMBERS).for_each(|node| cluster.start(node));
         let mut first = document(routes);
-        assert!(world.until(5_000, |world| world.leader().is_some()), "seed {seed}: no leader");
-        if more > 0 {
-            first["note"] = "x".repeat(more).into();
+        assert!(cluster.until(5_000, |cluster| cluster.leader().is_some()), "seed {seed}: no leader");
+        if padding > 0 {
+            first["note"] = "x".repeat(padding).into();
         }
-        world.order(false, 0, &first, 1);
-        assert_eq!(world.acked, 1, "seed {seed}");
-        world
+        cluster.send_change(false, 0, &first, 1);
+        assert_eq!(cluster.acked, 1, "seed {seed}");
+        cluster
     }
 
     pub fn replica(&self, node: usize) -> Option<&Replica> {
@@ -145,13 +148,13 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let sure = |node: &usize| {
+        let has_lease = |node: &usize| {
             self.replica(*node).is_some_and(|replica| {
                 replica.leader_state().is_some()
                     && replica.consensus().quorum_age(self.now).is_some_and(|age| age < 350)
             })
         };
-        (0..MEMBERS).filter(|node| !self.cut.contains(node)).find(sure)
+        (0..MEMBERS).filter(|node| !self.cut.contains(node)).find(has_lease)
     }
 
     pub fn followers(&self) -> Vec<usize> {
@@ -161,9 +164,9 @@
 
     // ---- Members ----
 
-    /// A process begins, from its disk where there is something.
+    /// Starts the process from its disk, if there is anything on it.
     pub fn start(&mut self, node: usize) {
-        let place = MemberConfig {
+        let config = MemberConfig {
             name: format!("core-{node}"),
             host: host(node),
             zones: BTreeMap::from([("z1".into(), "r1".into())]),
@@ -171,28 +174,28 @@
             heartbeat_ms: 1_000,
         };
         let restored = match self.nodes[node].disk.load().expect("readable") {
-            Some(kept) => kept.into(),
+            Some(stored) => stored.into(),
             None => Restored::bootstrap(member(node), (0..MEMBERS).map(member).collect()),
         };
-        let one = &mut self.nodes[node];
-        one.life += 1;
-        one.version = 0;
-        let seed = self.seed * 100 + node as u64 * 10 + u64::from(one.life);
-        one.replica = Some(Replica::new(Rc::new(place), restored, Tuning::default(), seed, self.now));
+        let member = &mut self.nodes[node];
+        member.run += 1;
+        member.version = 0;
+        let seed = self.seed * 100 + node as u64 * 10 + u64::from(member.run);
+        member.replica = Some(Replica::new(Rc::new(config), restored, Tuning::default(), seed, self.now));
         self.carry_out(node);
     }
 
-    /// It ends between two instructions; what it had written is on its disk.
+    /// Ends the process; what it has written is on its disk.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].replica = None;
         self.nodes[node].writing.clear();
         self.outboxes.retain(|(from, _), _| *from != node);
         self.busy.retain(|(from, ..), _| *from != node);
-        let mine = |due: &Due| match due {
+        let is_own = |due: &Due| match due {
             Due::Call { from, .. } => *from == node,
-            Due::Written { node: of, .. } => *of == node,
+            Due::Written { node: owner, .. } => *owner == node,
         };
-        self.due.retain(|_, due| !mine(due));
+        self.due.retain(|_, due| !is_own(due));
     }
 
     pub fn disk_ms(&mut self, node: usize, ms: u64) {
@@ -203,7 +206,7 @@
         self.nodes[node].disk.fail(full);
     }
 
-    /// Does something at a member and carries out what follows from it.
+    /// Runs `act` on a member and carries out the effects.
     fn act<R>(&mut self, node: usize, act: impl FnOnce(&mut Replica, u64) -> R) -> Option<R> {
         let now = self.now;
         let result = act(self.nodes[node].replica.as_mut()?, now);
@@ -222,7 +225,7 @@
                 Event::LeadBegun { version, .. } => {
                     assert!(
                         version >= self.acked,
-                        "member {node} leads with {version}, {} is lost",
+                        "member {node} leads with version {version}, the acknowledged {} is lost",
                         self.acked
                     );
                     self.leads.push((node, self.now));
@@ -237,7 +240,7 @@
             let Some(to) = (0..MEMBERS).find(|node| host(*node) == to) else { continue };
             if matches!(envelope.msg, Msg::InstallSnapshot { .. }) {
                 *self.snapshots.entry(to).or_default() += 1;
-                self.kept.push((to, envelope.clone()));
+                self.sent_snapshots.push((to, envelope.clone()));
             }
             self.outboxes.entry((node, to)).or_default().push(envelope);
             self.call(node, to);
@@ -251,50 +254,53 @@
     }
 
     fn write(&mut self, node: usize) {
-        let one = &self.nodes[node];
-        let Some(write) = one.writing.front() else { return };
-        let (life, write) = (one.life, Box::new(write.clone()));
-        self.plan(one.disk_ms, Due::Written { node, life, write });
+        let member = &self.nodes[node];
+        let Some(write) = member.writing.front() else { return };
+        let (run, write) = (member.run, Box::new(write.clone()));
+        self.schedule(member.disk_ms, Due::Written { node, run, write });
     }
 
-    fn plan(&mut self, in_ms: u64, due: Due) {
-        self.number += 1;
-        self.due.insert((self.now + in_ms, self.number), due);
+    fn schedule(&mut self, in_ms: u64, due: Due) {
+        self.last_number += 1;
+        self.due.insert((self.now + in_ms, self.last_number), due);
     }
 
-    // ---- Lines ----
+    // ---- Links ----
 
-    /// Begins the calls that are due to a member.
+    /// Starts the calls to a member that are due.
     fn call(&mut self, from: usize, to: usize) {
         for lane in Lane::ALL {
             let Some(batch) = self.outboxes.entry((from, to)).or_default().next(lane) else { continue };
             let bytes = serde_json::to_vec(&batch.messages).expect("JSON").len();
-            let rate =
-                self.thin.filter(|(node, _)| [from, to].contains(node)).map_or(usize::MAX, |thin| thin.1);
-            // Each lane has half of the line.
-            let takes = (bytes / (rate / 2).max(1)) as u64;
+            let rate = self
+                .slow_link
+                .filter(|(node, _)| [from, to].contains(node))
+                .map_or(usize::MAX, |slow_link| slow_link.1);
+            // Each lane gets half of the link.
+            let transfer_ms = (bytes / (rate / 2).max(1)) as u64;
             let begins = self.busy.get(&(from, to, lane)).copied().unwrap_or(0).max(self.now);
-            let over = begins + takes + 2 * WAY_MS - self.now;
-            let dark = self.cut.contains(&from) || self.cut.contains(&to) || self.nodes[to].replica.is_none();
-            let fits = over <= batch.timeout_ms && !dark;
-            let ends = if fits { over } else { batch.timeout_ms };
-            let (way, done) = (ends.saturating_sub(WAY_MS).max(1), ends.max(2));
-            if !dark {
+            let duration = begins + transfer_ms + 2 * ONE_WAY_MS - self.now;
+            let is_unreachable =
+                self.cut.contains(&from) || self.cut.contains(&to) || self.nodes[to].replica.is_none();
+            let fits = duration <= batch.timeout_ms && !is_unreachable;
+            let ends = if fits { duration } else { batch.timeout_ms };
+            let (arrives_in, done) = (ends.saturating_sub(ONE_WAY_MS).max(1), ends.max(2));
+            if !is_unreachable {
                 self.busy.insert((from, to, lane), begins.max(self.now + done - 2));
-                let part = if fits { bytes } else { bytes.min(rate.saturating_mul(done as usize) / 2) };
-                *self.sent.entry(to).or_default() += part;
+                let sent = if fits { bytes } else { bytes.min(rate.saturating_mul(done as usize) / 2) };
+                *self.sent.entry(to).or_default() += sent;
             }
             let arrived = fits.then_some(batch.messages);
-            self.plan(way, Due::Call { from, to, lane, arrived });
+            self.schedule(arrives_in, Due::Call { from, to, lane, arrived });
         }
     }
 
-    /// Lets the next thing happen, before `end`.
+    /// Handles the next event before `end`; false if there is none.
     fn step(&mut self, end: u64) -> bool {
         let wake = |(number, node): (usize, &Node)| Some((node.replica.as_ref()?.next_wake(), number));
-        let alarm = self.nodes.iter().enumerate().filter_map(wake).min();
+        let next_tick = self.nodes.iter().enumerate().filter_map(wake).min();
         let event = self.due.first_key_value().map(|(at, _)| at.0);
-        let at = alarm.map(|(at, _)| at).into_iter().chain(event).min().unwrap_or(u64::MAX);
+        let at = next_tick.map(|(at, _)| at).into_iter().chain(event).min().unwrap_or(u64::MAX);
         if at > end {
             self.now = end;
             return false;
@@ -302,15 +308,15 @@
         self.now = self.now.max(at);
         if event.is_some_and(|event| event <= self.now) {
             if let Some((_, due)) = self.due.pop_first() {
-                self.happens(due);
+                self.handle(due);
             }
-        } else if let Some((_, node)) = alarm {
+        } else if let Some((_, node)) = next_tick {
             self.act(node, Replica::tick);
         }
         true
     }
 
-    fn happens(&mut self, due: Due) {
+    fn handle(&mut self, due: Due) {
         match due {
             Due::Call { from, to, lane, arrived } => {
                 if let Some(messages) =
@@ -323,11 +329,11 @@
                     self.call(from, to);
                 }
             }
-            Due::Written { node, life, write } if self.nodes[node].life == life => {
-                let one = &mut self.nodes[node];
-                one.writing.pop_front();
-                let fine = one.disk.write(&write).is_ok() && one.disk.sync();
-                self.act(node, |replica, now| replica.written(now, write.ticket, fine));
+            Due::Written { node, run, write } if self.nodes[node].run == run => {
+                let member = &mut self.nodes[node];
+                member.writing.pop_front();
+                let succeeded = member.disk.write(&write).is_ok() && member.disk.sync();
+                self.act(node, |replica, now| replica.written(now, write.ticket, succeeded));
                 self.write(node);
             }
             Due::Written { .. } => {}
@@ -339,25 +345,25 @@
         while self.step(end) {}
     }
 
-    pub fn until(&mut self, ms: u64, holds: impl Fn(&Cluster) -> bool) -> bool {
+    pub fn until(&mut self, ms: u64, condition: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + ms;
-        while !holds(self) {
+        while !condition(self) {
             if !self.step(end) {
-                return holds(self);
+                return condition(self);
             }
         }
         true
     }
 
-    /// Hands a message to a member as if it had been on its way all the time.
+    /// Delivers a message to a member as if it had been delayed.
     pub fn deliver(&mut self, to: usize, envelope: Envelope) {
         self.act(to, |replica, now| replica.receive(now, vec![envelope]));
     }
 
     // ---- Operators ----
 
-    /// An order at the leader, and its answer, where one comes within some seconds.
-    fn order(&mut self, patch: bool, base: u64, body: &Value, version: u64) -> bool {
+    /// Sends a change to the leader; whether it is accepted within some seconds.
+    fn send_change(&mut self, patch: bool, base: u64, body: &Value, version: u64) -> bool {
         let Some(leader) = self.leader() else { return false };
         let body = body.to_string().into();
         let change = Change { patch, base: Some(base), body };
@@ -365,49 +371,49 @@
             return false;
         };
         let key = (leader, ticket);
-        self.until(4_000, |world| world.answers.contains_key(&key));
-        let taken = self.answers.remove(&key) == Some(Answer::Accepted);
-        if taken {
+        self.until(4_000, |cluster| cluster.answers.contains_key(&key));
+        let is_accepted = self.answers.remove(&key) == Some(Answer::Accepted);
+        if is_accepted {
             self.acked = self.acked.max(version);
         }
-        taken
+        is_accepted
     }
 
-    /// Patches one route; whether it was acknowledged.
+    /// Patches one route; whether it is acknowledged.
     pub fn change(&mut self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let base = self.version(leader);
         let number = (base % 7) as usize;
         let mut item = route(number, base + 3);
-        if self.more > 0 {
-            item["note"] = "x".repeat(self.more).into();
+        if self.padding > 0 {
+            item["note"] = "x".repeat(self.padding).into();
         }
         let body = json!({
             "config_version": base + 1, "upsert": {"routes": {format!("route{number}"): item}},
         });
-        self.order(true, base, &body, base + 1)
+        self.send_change(true, base, &body, base + 1)
     }
 
-    /// Patches one after the other.
+    /// Makes this many changes, one after the other.
     pub fn changes(&mut self, count: usize) {
         for _ in 0..count {
-            assert!(self.until(8_000, |world| world.leader().is_some()), "seed {}: no leader", self.seed);
+            assert!(self.until(8_000, |cluster| cluster.leader().is_some()), "seed {}: no leader", self.seed);
             assert!(self.change(), "seed {}: not acknowledged at {} ms", self.seed, self.now);
         }
     }
 
-    /// Starts a member and lets it catch up while a change comes every `every_ms`.
-    pub fn come_back(&mut self, node: usize, every_ms: u64, within_ms: u64) -> Option<Caught> {
+    /// Starts a member and lets it catch up while a change is made every `every_ms`; `None`: not within `within_ms`.
+    pub fn restart_and_catch_up(&mut self, node: usize, every_ms: u64, within_ms: u64) -> Option<CatchUp> {
         self.start(node);
         self.catch_up(node, every_ms, within_ms)
     }
 
-    pub fn catch_up(&mut self, node: usize, every_ms: u64, within_ms: u64) -> Option<Caught> {
-        let (begun, wanted) = (self.now, self.acked);
+    pub fn catch_up(&mut self, node: usize, every_ms: u64, within_ms: u64) -> Option<CatchUp> {
+        let (began, wanted) = (self.now, self.acked);
         let (bytes, snapshots) = (self.sent(node), self.snapshots(node));
         let mut next = self.now;
         while self.version(node) < wanted {
-            if self.now >= begun + within_ms {
+            if self.now >= began + within_ms {
                 return None;
             }
             next += every_ms;
@@ -415,10 +421,10 @@
                 self.change();
             }
             let left = next.saturating_sub(self.now).max(1);
-            self.until(left, |world| world.version(node) >= wanted);
+            self.until(left, |cluster| cluster.version(node) >= wanted);
         }
-        Some(Caught {
-            ms: self.now - begun,
+        Some(CatchUp {
+            ms: self.now - began,
             bytes: self.sent(node) - bytes,
             by_snapshot: self.snapshots(node) > snapshots,
         })
@@ -432,14 +438,15 @@
         self.snapshots.get(&node).copied().unwrap_or(0)
     }
 
-    /// All members come to the same state.
+    /// Waits until all members have the same state.
     pub fn converge(&mut self) {
-        let same = |world: &Cluster| {
-            let newest = world.acked;
-            (0..MEMBERS).all(|node| world.version(node) >= newest && world.version(node) == world.version(0))
+        let is_same = |cluster: &Cluster| {
+            let newest = cluster.acked;
+            (0..MEMBERS)
+                .all(|node| cluster.version(node) >= newest && cluster.version(node) == cluster.version(0))
         };
         assert!(
-            self.until(20_000, same),
+            self.until(20_000, is_same),
             "seed {}: versions {:?}",
             self.seed,
             [0, 1, 2].map(|node| self.version(node))
--- a/crates/replica/tests/departure_model.rs
+++ b/crates/replica/tests/departure_model.rs
@@ -1,8 +1,10 @@
-//! All ways, up to a depth, in which one server's departure can meet crashes, cuts, wakes and changes of leader.
+//! An exhaustive model check, up to a depth, of one server's departure under crashes, partitions, suspended leaders and
+//! changes of leader.
 //!
-//! The true [`DepartureLog`], [`Departures`] and [`Register`] run; the agreement below them is taken as what its own model
-//! shows: one order of entries, and a leader that has applied all of it before it tells anyone anything. Copies from which a
-//! successor starts are as old as they like. Each guard is taken out in turn, and the fault that it keeps away is found.
+//! It runs the real [`DepartureLog`], [`Departures`] and [`Register`]. Consensus is replaced by its guarantees, which have a
+//! model check of their own: one order of entries, and a leader that has applied all of them before it answers any call. The
+//! copy from which a new leader starts is as old as possible. Each guard is also removed in turn, and the check has to find
+//! the fault that it prevents.
 
 use nickeljunction_messages::ServerState;
 use nickeljunction_registry::{Heartbeat, Register, Tuning, WatchCache};
@@ -11,55 +13,55 @@
 use std::collections::BTreeMap;
 
 const ID: &str = "i-1";
-/// Acts of one history; `DEPARTURE_MODEL_DEPTH` sets another number.
+/// Actions in one history; `DEPARTURE_MODEL_DEPTH` overrides it.
 const DEPTH: usize = 6;
-/// Longer than an ended life is remembered, ms.
-const LONG_MS: u64 = 61_000;
+/// Longer than the time after which a departure is forgotten, ms.
+const BEYOND_RETENTION_MS: u64 = 61_000;
 
-/// What can happen.
+/// One step of a history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Act {
-    /// The server says to the leader of now that it drains.
+enum Action {
+    /// The server announces its drain to the current leader.
     Drain,
-    /// The server says to the leader of now that it has ended.
+    /// The server reports its end to the current leader.
     End,
-    /// A beat of before its departure arrives at last.
-    LateBeat,
-    /// The entry under way is committed.
+    /// A heartbeat from before the departure arrives late.
+    DelayedHeartbeat,
+    /// The entry in flight is committed.
     Commit,
-    /// The leader hears that its entry is not known to be taken, though a majority may have it.
+    /// The leader's entry times out, though a majority may have it.
     TimeOut,
-    /// The leader is cut off, freezes or crashes: another one starts from the oldest copy, with the entry under way cut off.
-    SucceedWithout,
-    /// The same; the successor finds the entry under way on its log.
-    SucceedWith,
-    /// A minute goes by; then as [`Act::SucceedWithout`].
-    Minute,
+    /// The leader is cut off, suspended or crashes: another one starts from the oldest copy, and the entry in flight is lost.
+    LeaderChangeWithoutEntry,
+    /// The leader changes, and the new one has the entry in flight on its log.
+    LeaderChangeWithEntry,
+    /// More than a minute goes by, then as [`Action::LeaderChangeWithoutEntry`].
+    LongPause,
 }
 
-const ACTS: [Act; 8] = [
-    Act::Drain,
-    Act::End,
-    Act::LateBeat,
-    Act::Commit,
-    Act::TimeOut,
-    Act::SucceedWithout,
-    Act::SucceedWith,
-    Act::Minute,
+const ACTIONS: [Action; 8] = [
+    Action::Drain,
+    Action::End,
+    Action::DelayedHeartbeat,
+    Action::Commit,
+    Action::TimeOut,
+    Action::LeaderChangeWithoutEntry,
+    Action::LeaderChangeWithEntry,
+    Action::LongPause,
 ];
 
-/// What is taken out to see that it is needed.
+/// A guard that is removed to show that it is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Guard {
-    /// A departure is acknowledged when it is logged only.
+    /// A departure is acknowledged only once it is logged.
     AcknowledgeLogged,
-    /// A successor applies what the log says to its register.
+    /// A new leader applies the departures on the log to its register.
     ApplyOnTakeover,
-    /// An entry that is not known to be taken is put on the log again.
+    /// An entry that timed out is proposed again.
     ProposeAgain,
 }
 
-fn beat(state: ServerState, call_seq: u64) -> Heartbeat {
+fn heartbeat(state: ServerState, call_seq: u64) -> Heartbeat {
     Heartbeat {
         address: "10.2.0.1:80".into(),
         backend: "b".into(),
@@ -76,12 +78,12 @@
     Tuning::new(1_500, BTreeMap::from([("z1".into(), "r1".into())]))
 }
 
-/// The copy that every leader starts from: the server serves.
+/// The copy that every leader starts from. The server is in service in it.
 fn old_copy() -> WatchCache {
     let mut register = Register::new(0, tuning(), 1, None);
-    register.record_heartbeat(0, ID, &beat(ServerState::InService, 1));
+    register.record_heartbeat(0, ID, &heartbeat(ServerState::InService, 1));
     (0..100).for_each(|step| drop(register.tick(step * 100)));
-    register.record_heartbeat(9_900, ID, &beat(ServerState::InService, 2));
+    register.record_heartbeat(9_900, ID, &heartbeat(ServerState::InService, 2));
     let mut copy = WatchCache::new();
     let call = copy.watch_call(nickeljunction_messages::Caller::Core, "core-2", 1, None, 0);
     let answer = register.answer(10_000, &call, 0).expect("all of it");
@@ -91,36 +93,36 @@
 }
 
 struct Model {
-    out: Option<Guard>,
+    removed: Option<Guard>,
     copy: WatchCache,
     now: u64,
     term: u64,
     register: Register,
     log: DepartureLog,
     state: Departures,
-    under_way: Option<Entry>,
-    /// The leader was told that its entry is not known to be taken, and it may still be committed.
-    open: Option<Entry>,
+    in_flight: Option<Entry>,
+    /// An entry that has timed out, but may still be committed.
+    timed_out: Option<Entry>,
     call_seq: u64,
-    /// Numbers of departures that wait for their acknowledgement, in this term.
+    /// Numbers of the departures of this term that wait for their acknowledgement.
     waiting: Vec<u64>,
-    /// It may have been acknowledged, since when.
+    /// Since when a departure may have been acknowledged, ms.
     acknowledged: Option<u64>,
 }
 
 impl Model {
-    fn new(copy: &WatchCache, out: Option<Guard>) -> Model {
+    fn new(copy: &WatchCache, removed: Option<Guard>) -> Model {
         let now = 20_000;
         Model {
-            out,
+            removed,
             copy: copy.clone(),
             now,
             term: 2,
             register: Register::new(now, tuning(), 2, Some(copy.clone())),
             log: DepartureLog::default(),
             state: Departures::default(),
-            under_way: None,
-            open: None,
+            in_flight: None,
+            timed_out: None,
             call_seq: 2,
             waiting: Vec::new(),
             acknowledged: None,
@@ -128,18 +130,18 @@
     }
 
     fn has(&self, guard: Guard) -> bool {
-        self.out != Some(guard)
+        self.removed != Some(guard)
     }
 
-    fn say(&mut self, departure: Departure) {
+    fn depart(&mut self, departure: Departure) {
         let number = self.log.record(ID, departure, &self.state);
         self.waiting.push(number);
         self.propose();
     }
 
     fn propose(&mut self) {
-        if self.under_way.is_none() {
-            self.under_way = self.log.next_entry();
+        if self.in_flight.is_none() {
+            self.in_flight = self.log.next_entry();
         }
         let logged = |number: &u64| self.log.is_logged(*number) || !self.has(Guard::AcknowledgeLogged);
         if self.waiting.iter().any(logged) {
@@ -153,7 +155,7 @@
         }
     }
 
-    fn succeed(&mut self) {
+    fn change_leader(&mut self) {
         self.term += 1;
         self.register = Register::new(self.now, tuning(), self.term, Some(self.copy.clone()));
         if self.has(Guard::ApplyOnTakeover) {
@@ -163,114 +165,114 @@
         self.waiting.clear();
     }
 
-    fn act(&mut self, act: Act) {
+    fn apply_action(&mut self, action: Action) {
         self.now += 100;
-        match act {
-            Act::Drain => {
+        match action {
+            Action::Drain => {
                 self.call_seq += 1;
-                let beat = beat(ServerState::Draining, self.call_seq);
-                self.register.record_heartbeat(self.now, ID, &beat);
-                self.say(Departure::Draining { call_seq: self.call_seq });
+                let heartbeat = heartbeat(ServerState::Draining, self.call_seq);
+                self.register.record_heartbeat(self.now, ID, &heartbeat);
+                self.depart(Departure::Draining { call_seq: self.call_seq });
             }
-            Act::End => {
+            Action::End => {
                 self.register.remove_server(self.now, ID);
-                self.say(Departure::Ended);
+                self.depart(Departure::Ended);
             }
-            Act::LateBeat => {
-                self.register.record_heartbeat(self.now, ID, &beat(ServerState::InService, 2));
+            Action::DelayedHeartbeat => {
+                self.register.record_heartbeat(self.now, ID, &heartbeat(ServerState::InService, 2));
             }
-            Act::Commit => {
-                // What timed out is committed before what came after it.
-                if let Some(entry) = self.open.take() {
+            Action::Commit => {
+                // The entry that timed out is committed before the one after it.
+                if let Some(entry) = self.timed_out.take() {
                     self.apply(entry);
                 }
-                if let Some(entry) = self.under_way.take() {
+                if let Some(entry) = self.in_flight.take() {
                     self.apply(entry);
                     self.log.entry_settled(true);
                 }
                 self.propose();
             }
-            Act::TimeOut => {
-                if let Some(entry) = self.under_way.take() {
-                    self.open = Some(entry);
+            Action::TimeOut => {
+                if let Some(entry) = self.in_flight.take() {
+                    self.timed_out = Some(entry);
                     self.log.entry_settled(!self.has(Guard::ProposeAgain));
                 }
                 self.propose();
             }
-            Act::SucceedWithout => {
-                (self.under_way, self.open) = (None, None);
-                self.succeed();
+            Action::LeaderChangeWithoutEntry => {
+                (self.in_flight, self.timed_out) = (None, None);
+                self.change_leader();
             }
-            Act::SucceedWith => {
-                for entry in [self.open.take(), self.under_way.take()].into_iter().flatten() {
+            Action::LeaderChangeWithEntry => {
+                for entry in [self.timed_out.take(), self.in_flight.take()].into_iter().flatten() {
                     self.apply(entry);
                 }
-                self.succeed();
+                self.change_leader();
             }
-            Act::Minute => {
-                (self.under_way, self.open) = (None, None);
-                self.now += LONG_MS;
-                self.succeed();
+            Action::LongPause => {
+                (self.in_flight, self.timed_out) = (None, None);
+                self.now += BEYOND_RETENTION_MS;
+                self.change_leader();
             }
         }
         let register = &self.register;
         self.log.forget_old(self.now, &self.state, |id| register.server_state(id).is_some());
     }
 
-    /// Whoever leads: nobody is told to send to a server that was told that it may leave.
-    fn is_fine(&self) -> bool {
-        let serves = self.register.server_state(ID) == Some(ServerState::InService);
-        // A minute later no copy of before is of any use: a process forgets its notes after seconds.
-        let binds = self.acknowledged.is_some_and(|at| self.now < at + LONG_MS);
-        !(serves && binds)
+    /// The property: no leader lets requests be routed to a server whose departure was acknowledged.
+    fn property_holds(&self) -> bool {
+        let is_in_service = self.register.server_state(ID) == Some(ServerState::InService);
+        // After a minute no older copy can be in use: a process discards a saved copy after seconds.
+        let must_hold = self.acknowledged.is_some_and(|since| self.now < since + BEYOND_RETENTION_MS);
+        !(is_in_service && must_hold)
     }
 }
 
-/// Plays all histories; the first one that breaks the promise.
-fn search(out: Option<Guard>) -> Option<Vec<Act>> {
+/// Runs all histories, and returns the first one that violates the property.
+fn search(removed: Option<Guard>) -> Option<Vec<Action>> {
     let copy = old_copy();
     let depth =
         std::env::var("DEPARTURE_MODEL_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(DEPTH);
     let mut histories: u64 = 0;
-    let mut acts = vec![0usize; depth];
+    let mut actions = vec![0usize; depth];
     loop {
-        let mut world = Model::new(&copy, out);
-        let mut played = depth;
-        for (step, act) in acts.iter().enumerate() {
-            world.act(ACTS[*act]);
-            if !world.is_fine() {
-                return Some(acts[..=step].iter().map(|act| ACTS[*act]).collect());
+        let mut model = Model::new(&copy, removed);
+        let mut steps_run = depth;
+        for (step, action) in actions.iter().enumerate() {
+            model.apply_action(ACTIONS[*action]);
+            if !model.property_holds() {
+                return Some(actions[..=step].iter().map(|action| ACTIONS[*action]).collect());
             }
-            played = step + 1;
+            steps_run = step + 1;
         }
         histories += 1;
-        // The next one: counted up from the last act that was played.
-        let mut at = played;
+        // Continues with the next history, counting up from the last action that was run.
+        let mut position = steps_run;
         loop {
-            if at == 0 {
-                println!("{histories} histories of {depth} acts");
+            if position == 0 {
+                println!("{histories} histories of {depth} actions");
                 return None;
             }
-            at -= 1;
-            acts[at] += 1;
-            if acts[at] < ACTS.len() {
+            position -= 1;
+            actions[position] += 1;
+            if actions[position] < ACTIONS.len() {
                 break;
             }
-            acts[at] = 0;
+            actions[position] = 0;
         }
     }
 }
 
 #[test]
-fn no_history_leads_to_a_server_that_was_told_it_may_leave() {
+fn no_history_routes_to_a_server_whose_departure_was_acknowledged() {
     assert_eq!(search(None), None);
 }
 
 #[test]
 fn each_guard_is_needed() {
     for guard in [Guard::AcknowledgeLogged, Guard::ApplyOnTakeover, Guard::ProposeAgain] {
-        let found = search(Some(guard));
-        println!("without {guard:?}: {found:?}");
-        assert!(found.is_some(), "nothing is missed without {guard:?}");
+        let violation = search(Some(guard));
+        println!("without {guard:?}: {violation:?}");
+        assert!(violation.is_some(), "no fault is found without {guard:?}");
     }
 }
