--- a/crates/ctl/src/storm_demo/check/control.rs
+++ b/crates/ctl/src/storm_demo/check/control.rs
@@ -177,7 +177,7 @@
     let copies = facts.log.copies.iter().filter_map(|copy| {
         let order = facts.orders.get(&copy.order)?;
         let status = match copy.said {
-            Said::Taken => Some(Status::Taken),
+            Said::Taken => Some(Status::Acknowledged),
             Said::Conflict => Some(Status::Conflict),
             Said::Invalid => Some(Status::Invalid),
             Said::Unclear(_) => Some(Status::Unclear),
@@ -194,7 +194,7 @@
         };
         Some(Exchange {
             call,
-            answer: status.map(|status| Answer { status, at_ms: copy.ended.ceil() as u64 }),
+            answer: status.map(|status| Answer { status, received_ms: copy.ended.ceil() as u64 }),
         })
     });
     let reads = facts.log.reads.iter().map(|read| Exchange {
@@ -210,7 +210,7 @@
         answer: read
             .seen
             .as_ref()
-            .map(|seen| Answer { status: Status::Read(seen.version), at_ms: read.ended.ceil() as u64 }),
+            .map(|seen| Answer { status: Status::Read(seen.version), received_ms: read.ended.ceil() as u64 }),
     });
     copies.chain(reads).collect()
 }
--- a/crates/gateway/src/change.rs
+++ b/crates/gateway/src/change.rs
@@ -51,7 +51,7 @@
 impl Keeper {
     fn new(mut history: History) -> Keeper {
         let (to, jobs) = std::sync::mpsc::channel();
-        let lasting = history.lasting();
+        let lasting = history.is_durable();
         std::thread::spawn(move || {
             for job in jobs {
                 let text = |why: nickeljunction_store::HistoryError| why.to_string();
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -249,7 +249,7 @@
         Some(file) => History::open(&beside(path, file)).map_err(|why| bad(why.to_string()))?,
         None => History::in_memory().map_err(|why| bad(why.to_string()))?,
     };
-    if !history.lasting() {
+    if !history.is_durable() {
         tracing::warn!("the history of changes is in memory: it ends with this process");
     }
     let control = daemon.control.as_ref().map(|file| Control::listen(&beside(path, file))).transpose();
--- a/crates/history/src/chain.rs
+++ b/crates/history/src/chain.rs
@@ -66,7 +66,7 @@
                 chain.add(exchange);
             }
             let version = match exchange.status() {
-                Status::Taken => call.version,
+                Status::Acknowledged => call.version,
                 Status::Read(version) => {
                     let last = chain.last_read.entry(version).or_default();
                     *last = call.sent_ms.max(*last);
@@ -75,7 +75,7 @@
                 _ => continue,
             };
             chain.in_force.insert(version);
-            told.extend(exchange.answer.map(|answer| (answer.at_ms, version)));
+            told.extend(exchange.answer.map(|answer| (answer.received_ms, version)));
         }
         told.sort_unstable();
         let mut most = 0;
@@ -99,8 +99,8 @@
         }
         let order = &mut self.orders[at];
         order.sent_ms = order.sent_ms.min(call.sent_ms);
-        if let Some(Answer { status: Status::Taken, at_ms }) = exchange.answer {
-            order.acked_ms = Some(order.acked_ms.map_or(at_ms, |at| at.min(at_ms)));
+        if let Some(Answer { status: Status::Acknowledged, received_ms }) = exchange.answer {
+            order.acked_ms = Some(order.acked_ms.map_or(received_ms, |at| at.min(received_ms)));
         }
     }
 
--- a/crates/history/src/check.rs
+++ b/crates/history/src/check.rs
@@ -14,35 +14,35 @@
             display("two changes on version {} were acknowledged: {:?} and {:?}", base, one, other)
         }
         /// Two changes were acknowledged under one number.
-        SameNumber(version: u64, one: Box<Call>, other: Box<Call>) {
+        DuplicateVersion(version: u64, one: Box<Call>, other: Box<Call>) {
             display("two changes of number {} were acknowledged: {:?} and {:?}", version, one, other)
         }
         /// A change that was taken was refused.
-        TakenRefused(call: Box<Call>, answer: Answer) {
+        AppliedRefused(call: Box<Call>, answer: Answer) {
             display("a change that was taken was refused: {:?}, answered {:?}", call, answer)
         }
         /// A proper change was refused while the version that it builds on was current.
-        Refused(call: Box<Call>, answer: Answer) {
+        UnjustifiedRefusal(call: Box<Call>, answer: Answer) {
             display("refused, though nothing came between: {:?}, answered {:?}", call, answer)
         }
         /// A change was acknowledged that is not valid, or whose version is not above its base.
-        ImproperTaken(call: Box<Call>) {
+        InvalidAcknowledged(call: Box<Call>) {
             display("acknowledged, though it is not proper: {:?}", call)
         }
         /// A change was acknowledged that was first sent when a newer version than its base was in force.
-        LateTaken(call: Box<Call>, newer: u64) {
+        StaleBaseAcknowledged(call: Box<Call>, newer: u64) {
             display("acknowledged, though version {} was in force when it was first sent: {:?}", newer, call)
         }
         /// A read saw less than was known before it was sent.
-        WentBack(call: Box<Call>, version: u64, known: u64) {
+        StaleRead(call: Box<Call>, version: u64, known: u64) {
             display("a read saw version {}, version {} was known before it: {:?}", version, known, call)
         }
         /// A read saw a version that nobody had asked for by then, or only with changes that were refused.
-        FromNowhere(call: Box<Call>, version: u64) {
+        UnexplainedVersion(call: Box<Call>, version: u64) {
             display("a read saw version {}, which no change can have made by then: {:?}", version, call)
         }
         /// A version that was acknowledged or read is not in the chain of a newer one.
-        Lost(older: u64, newer: u64) {
+        LostVersion(older: u64, newer: u64) {
             display("version {} was in force, and version {} is not built on it", older, newer)
         }
     }
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Changes, each with all its copies.
-    pub orders: usize,
+    pub changes: usize,
     /// Copies of changes that were sent.
     pub copies: usize,
     /// Changes that were acknowledged.
@@ -76,7 +76,7 @@
         let Some(answer) = exchange.answer else { continue };
         let call = &exchange.call;
         match answer.status {
-            Status::Read(version) => read(&chain, call, version, answer.at_ms)?,
+            Status::Read(version) => read(&chain, call, version, answer.received_ms)?,
             Status::Conflict | Status::Invalid if call.kind != Kind::Read => refusal(&chain, call, answer)?,
             _ => {}
         }
@@ -98,14 +98,14 @@
             return Err(Violation::Fork(call.base, boxed(other), boxed(order)));
         }
         if let Some(other) = of.insert(call.version, order) {
-            return Err(Violation::SameNumber(call.version, boxed(other), boxed(order)));
+            return Err(Violation::DuplicateVersion(call.version, boxed(other), boxed(order)));
         }
         if !call.valid || call.version <= call.base {
-            return Err(Violation::ImproperTaken(boxed(order)));
+            return Err(Violation::InvalidAcknowledged(boxed(order)));
         }
         let newer = chain.known_at(order.sent_ms);
         if newer > call.base {
-            return Err(Violation::LateTaken(boxed(order), newer));
+            return Err(Violation::StaleBaseAcknowledged(boxed(order), newer));
         }
     }
     Ok(())
@@ -115,11 +115,11 @@
 fn read(chain: &Chain, call: &Call, version: u64, at: u64) -> Result<(), Violation> {
     let known = chain.known_at(call.sent_ms);
     if version < known {
-        return Err(Violation::WentBack(Box::new(call.clone()), version, known));
+        return Err(Violation::StaleRead(Box::new(call.clone()), version, known));
     }
     let made = chain.makers(version).iter().any(|order| order.sent_ms <= at);
     if version > 0 && !made {
-        return Err(Violation::FromNowhere(Box::new(call.clone()), version));
+        return Err(Violation::UnexplainedVersion(Box::new(call.clone()), version));
     }
     Ok(())
 }
@@ -134,15 +134,15 @@
     let acked = order.acked_ms.is_some_and(|at| at < call.sent_ms);
     let in_force = chain.certain_at(call.base, call.sent_ms);
     if chain.taken(order) && (acked || in_force) {
-        return refused(Violation::TakenRefused);
+        return refused(Violation::AppliedRefused);
     }
     if !call.valid || call.version <= call.base {
         return Ok(());
     }
-    let other = |rival: &&Order| !std::ptr::eq(*rival, order) && rival.sent_ms <= answer.at_ms;
+    let other = |rival: &&Order| !std::ptr::eq(*rival, order) && rival.sent_ms <= answer.received_ms;
     let came_between = chain.takers(call.base).iter().any(other);
-    if in_force && (!came_between || chain.still_current(call.base, answer.at_ms)) {
-        return refused(Violation::Refused);
+    if in_force && (!came_between || chain.still_current(call.base, answer.received_ms)) {
+        return refused(Violation::UnjustifiedRefusal);
     }
     Ok(())
 }
@@ -151,7 +151,7 @@
 fn one_chain(chain: &Chain) -> Result<(), Violation> {
     let versions: Vec<u64> = chain.in_force.iter().copied().collect();
     match versions.windows(2).find(|two| !chain.leads_to(two[0], two[1])) {
-        Some(two) => Err(Violation::Lost(two[0], two[1])),
+        Some(two) => Err(Violation::LostVersion(two[0], two[1])),
         None => Ok(()),
     }
 }
@@ -160,10 +160,10 @@
     let of = |wanted: fn(Status) -> bool| history.iter().filter(|one| wanted(one.status())).count();
     let acknowledged = chain.orders.iter().filter(|order| order.acked_ms.is_some()).count();
     Summary {
-        orders: chain.orders.len(),
+        changes: chain.orders.len(),
         copies: history.iter().filter(|one| one.call.kind != Kind::Read).count(),
         acknowledged,
-        repeats: of(|status| status == Status::Taken) - acknowledged,
+        repeats: of(|status| status == Status::Acknowledged) - acknowledged,
         refused: of(|status| matches!(status, Status::Conflict | Status::Invalid)),
         reads: of(|status| matches!(status, Status::Read(_))),
     }
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// 2xx to a change.
-    Taken,
+    Acknowledged,
     /// 2xx to a read, with the version of the document.
     Read(u64),
     /// 409 or 412: another version is current.
@@ -66,7 +66,7 @@
     /// What it says.
     pub status: Status,
     /// When it was there, ms.
-    pub at_ms: u64,
+    pub received_ms: u64,
 }
 
 /// One copy of a call and what came back for it.
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -106,7 +106,7 @@
 fn status(answer: &Answer) -> Status {
     match answer {
         Answer::State(version) => Status::Read(*version),
-        Answer::Done => Status::Taken,
+        Answer::Done => Status::Acknowledged,
         Answer::Conflict => Status::Conflict,
         _ => Status::Unclear,
     }
@@ -179,7 +179,7 @@
     /// Newest version that an answer has told of.
     pub fn known(&self) -> u64 {
         let told = self.history.iter().filter_map(|exchange| match exchange.answer?.status {
-            Status::Taken => Some(exchange.call.version),
+            Status::Acknowledged => Some(exchange.call.version),
             Status::Read(version) => Some(version),
             _ => None,
         });
@@ -203,7 +203,7 @@
             if self.rng.u8(..100) < self.lost.answers {
                 return;
             }
-            let told = history::Answer { status: status(&answer), at_ms: now };
+            let told = history::Answer { status: status(&answer), received_ms: now };
             self.history[*place].answer.get_or_insert(told);
         }
         let members = self.members;
--- a/crates/simulation/tests/operators.rs
+++ b/crates/simulation/tests/operators.rs
@@ -136,7 +136,7 @@
 #[test]
 fn operators_who_race_and_repeat_over_a_core_in_trouble_see_one_register() {
     let seen: Vec<Summary> = (0..RACES).map(race).collect();
-    let (orders, copies) = (sum(&seen, |one| one.orders), sum(&seen, |one| one.copies));
+    let (orders, copies) = (sum(&seen, |one| one.changes), sum(&seen, |one| one.copies));
     let acknowledged = sum(&seen, |one| one.acknowledged);
     let (repeats, refused) = (sum(&seen, |one| one.repeats), sum(&seen, |one| one.refused));
     let reads = sum(&seen, |one| one.reads);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! What outlives the process. So far the history of configuration transactions: an embedded store (redb), each
 //! step one durable transaction, so that a process that is killed at any moment leaves the steps before whole.
 //!
-//! Without a file the same store runs in memory and says so ([`History::lasting`]).
+//! Without a file the same store runs in memory and says so ([`History::is_durable`]).
 
 use nickeljunction_config::bundle::Bundle;
 use nickeljunction_config::transaction::{Epoch, Record, Step};
@@ -18,7 +18,7 @@
 /// The form of the file that this program writes and reads.
 const FORM: u64 = 1;
 /// Documents that are kept; their steps go with them.
-pub const MOST_DOCUMENTS: u64 = 256;
+pub const MAX_DOCUMENTS: u64 = 256;
 /// What the store may keep in memory of its file, bytes.
 const CACHE: usize = 1024 * 1024;
 
@@ -74,11 +74,11 @@
 
     /// A history that ends with the process.
     pub fn in_memory() -> Result<History, HistoryError> {
-        History::on(InMemoryBackend::new(), false)
+        History::with_backend(InMemoryBackend::new(), false)
     }
 
     /// A history on this backend; for tests with one that fails.
-    pub fn on(backend: impl StorageBackend, lasting: bool) -> Result<History, HistoryError> {
+    pub fn with_backend(backend: impl StorageBackend, lasting: bool) -> Result<History, HistoryError> {
         let store = Database::builder().set_cache_size(CACHE).create_with_backend(backend)?;
         History::over(store, lasting)
     }
@@ -105,7 +105,7 @@
     }
 
     /// True if it outlives the process.
-    pub fn lasting(&self) -> bool {
+    pub fn is_durable(&self) -> bool {
         self.lasting
     }
 
@@ -124,7 +124,7 @@
                 write.open_table(DOCUMENTS)?.insert(record.epoch, text.as_slice())?;
             }
             if matches!(record.step, Step::Confirmed { .. }) {
-                let oldest = record.epoch.saturating_sub(MOST_DOCUMENTS);
+                let oldest = record.epoch.saturating_sub(MAX_DOCUMENTS);
                 write.open_table(DOCUMENTS)?.retain(|epoch, _| epoch >= oldest)?;
                 steps.retain(|_, line| {
                     serde_json::from_slice::<Record>(line).is_ok_and(|record| record.epoch >= oldest)
@@ -228,8 +228,8 @@
     #[test]
     fn old_documents_go_with_their_steps_and_the_confirmed_one_stays() {
         let mut history = History::in_memory().expect("made");
-        assert!(!history.lasting());
-        let last = MOST_DOCUMENTS + 20;
+        assert!(!history.is_durable());
+        let last = MAX_DOCUMENTS + 20;
         for epoch in 1..=last {
             history
                 .append(&step(epoch, Step::Staged { change: change(epoch) }), Some(&bundle(epoch)))
