--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
-//! What outlives the process. So far the history of configuration transactions: an embedded store (redb), each
-//! step one durable transaction, so that a process that is killed at any moment leaves the steps before whole.
+//! Persistent storage for the history of configuration transactions, in an embedded database (redb). Each step is one
+//! durable database transaction, so that a process that is killed at any moment leaves all earlier steps intact.
 //!
-//! Without a file the same store runs in memory and says so ([`History::is_durable`]).
+//! Without a file the same store runs in memory; [`History::is_durable`] is false then.
 
 use nickeljunction_config::bundle::Bundle;
 use nickeljunction_config::transaction::{Epoch, Record, Step};
@@ -9,20 +9,22 @@
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::path::Path;
 
-/// Steps by their number, from 0 on: a [`Record`] as JSON.
+/// Steps by number, from 0 on; each is a [`Record`] as JSON.
 const STEPS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("steps");
-/// Documents with their files by epoch: a [`Bundle`] as JSON.
+/// Documents with their files by epoch; each is a [`Bundle`] as JSON.
 const DOCUMENTS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("documents");
-/// About the file: `form`.
-const ABOUT: TableDefinition<'_, &str, u64> = TableDefinition::new("about");
-/// The form of the file that this program writes and reads.
-const FORM: u64 = 1;
-/// Documents that are kept; their steps go with them.
+/// Metadata of the file; its only key is [`FORMAT_KEY`].
+const METADATA: TableDefinition<'_, &str, u64> = TableDefinition::new("about");
+/// The key of the format version in [`METADATA`].
+const FORMAT_KEY: &str = "form";
+/// The format version of the file that this program writes and reads.
+const FORMAT: u64 = 1;
+/// Documents with an epoch more than this below the last confirmed one are deleted together with their steps.
 pub const MAX_DOCUMENTS: u64 = 256;
-/// What the store may keep in memory of its file, bytes.
-const CACHE: usize = 1024 * 1024;
+/// Upper limit of the database's page cache.
+const CACHE_BYTES: usize = 1024 * 1024;
 
-/// Why the history can't be used.
+/// Why the history can't be opened, read or written.
 #[derive(Debug)]
 pub struct HistoryError(pub String);
 
@@ -42,57 +44,61 @@
 
 /// The history of a gateway's configuration.
 pub struct History {
-    store: Database,
-    lasting: bool,
-    next: u64,
+    database: Database,
+    durable: bool,
+    /// The number of the next step.
+    next_step: u64,
 }
 
 impl std::fmt::Debug for History {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "History {{ steps: {}, lasting: {} }}", self.next, self.lasting)
+        write!(f, "History {{ next_step: {}, durable: {} }}", self.next_step, self.durable)
     }
 }
 
 impl History {
-    /// Opens or makes the history in this file; folders on the way to it are made.
+    /// Opens the history in this file, or creates it together with missing parent folders.
     ///
     /// # Errors
-    /// Another process has it open, it is damaged, of a later form, or can't be written. The file stays as it is.
+    /// Another process has the file open, it is damaged, has another format version, or can't be written. An existing
+    /// file is left unchanged.
     pub fn open(path: &Path) -> Result<History, HistoryError> {
         let name = path.display();
-        let said = |why: String| HistoryError(format!("{name}: {why}"));
+        let error = |cause: String| HistoryError(format!("{name}: {cause}"));
         if let Some(folder) = path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
-            std::fs::create_dir_all(folder).map_err(|why| said(why.to_string()))?;
+            std::fs::create_dir_all(folder).map_err(|cause| error(cause.to_string()))?;
         }
-        let store = Database::builder().set_cache_size(CACHE).create(path);
-        let store = store.map_err(|why| match why {
-            redb::DatabaseError::DatabaseAlreadyOpen => said("another process has it open".into()),
-            why => said(why.to_string()),
+        let database = Database::builder().set_cache_size(CACHE_BYTES).create(path);
+        let database = database.map_err(|cause| match cause {
+            redb::DatabaseError::DatabaseAlreadyOpen => error("another process has it open".into()),
+            cause => error(cause.to_string()),
         })?;
-        History::over(store, true).map_err(|why| said(why.0))
+        History::from_database(database, true).map_err(|cause| error(cause.0))
     }
 
-    /// A history that ends with the process.
+    /// Creates a history in memory, which is lost when the process ends.
     pub fn in_memory() -> Result<History, HistoryError> {
         History::with_backend(InMemoryBackend::new(), false)
     }
 
-    /// A history on this backend; for tests with one that fails.
-    pub fn with_backend(backend: impl StorageBackend, lasting: bool) -> Result<History, HistoryError> {
-        let store = Database::builder().set_cache_size(CACHE).create_with_backend(backend)?;
-        History::over(store, lasting)
-    }
-
-    fn over(store: Database, lasting: bool) -> Result<History, HistoryError> {
-        let write = store.begin_write()?;
-        let next = {
-            let mut about = write.open_table(ABOUT)?;
-            let form = about.get("form")?.map(|form| form.value());
-            match form {
-                None => drop(about.insert("form", FORM)?),
-                Some(FORM) => {}
-                Some(form) => {
-                    return Err(HistoryError(format!("of form {form}; this program reads form {FORM}")));
+    /// Creates a history on this backend. Tests can pass a backend that fails.
+    pub fn with_backend(backend: impl StorageBackend, durable: bool) -> Result<History, HistoryError> {
+        let database = Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(backend)?;
+        History::from_database(database, durable)
+    }
+
+    fn from_database(database: Database, durable: bool) -> Result<History, HistoryError> {
+        let write = database.begin_write()?;
+        let next_step = {
+            let mut metadata = write.open_table(METADATA)?;
+            let format = metadata.get(FORMAT_KEY)?.map(|format| format.value());
+            match format {
+                None => drop(metadata.insert(FORMAT_KEY, FORMAT)?),
+                Some(FORMAT) => {}
+                Some(format) => {
+                    return Err(HistoryError(format!(
+                        "the file has format version {format}; this program reads version {FORMAT}"
+                    )));
                 }
             }
             write.open_table(DOCUMENTS)?;
@@ -101,68 +107,70 @@
             last.map_or(0, |last| last + 1)
         };
         write.commit()?;
-        Ok(History { store, lasting, next })
+        Ok(History { database, durable, next_step })
     }
 
-    /// True if it outlives the process.
+    /// Whether the history outlives the process.
     pub fn is_durable(&self) -> bool {
-        self.lasting
+        self.durable
     }
 
-    /// Keeps a step, and with a new document the document; durable when this returns.
+    /// Appends a step, together with its document if the step introduces one. With a file, both are durable when this
+    /// returns. A confirmation also deletes documents beyond [`MAX_DOCUMENTS`] and their steps.
     ///
     /// # Errors
-    /// The store can't be written; nothing of the step is kept then.
+    /// The database can't be written; neither the step nor the document is stored then.
     pub fn append(&mut self, record: &Record, document: Option<&Bundle>) -> Result<(), HistoryError> {
-        let line = serde_json::to_vec(record).map_err(|why| HistoryError(why.to_string()))?;
-        let write = self.store.begin_write()?;
+        let record_json = serde_json::to_vec(record).map_err(|cause| HistoryError(cause.to_string()))?;
+        let write = self.database.begin_write()?;
         {
             let mut steps = write.open_table(STEPS)?;
-            steps.insert(self.next, line.as_slice())?;
+            steps.insert(self.next_step, record_json.as_slice())?;
             if let Some(document) = document {
-                let text = serde_json::to_vec(document).map_err(|why| HistoryError(why.to_string()))?;
-                write.open_table(DOCUMENTS)?.insert(record.epoch, text.as_slice())?;
+                let document_json =
+                    serde_json::to_vec(document).map_err(|cause| HistoryError(cause.to_string()))?;
+                write.open_table(DOCUMENTS)?.insert(record.epoch, document_json.as_slice())?;
             }
             if matches!(record.step, Step::Confirmed { .. }) {
                 let oldest = record.epoch.saturating_sub(MAX_DOCUMENTS);
                 write.open_table(DOCUMENTS)?.retain(|epoch, _| epoch >= oldest)?;
-                steps.retain(|_, line| {
-                    serde_json::from_slice::<Record>(line).is_ok_and(|record| record.epoch >= oldest)
+                steps.retain(|_, record_json| {
+                    serde_json::from_slice::<Record>(record_json).is_ok_and(|record| record.epoch >= oldest)
                 })?;
             }
         }
         write.commit()?;
-        self.next += 1;
+        self.next_step += 1;
         Ok(())
     }
 
-    /// All steps, oldest first.
+    /// All stored steps, oldest first.
     ///
     /// # Errors
-    /// The store can't be read, or a step in it can't.
+    /// The database can't be read, or a step in it can't be parsed.
     pub fn steps(&self) -> Result<Vec<Record>, HistoryError> {
-        let read = self.store.begin_read()?;
+        let read = self.database.begin_read()?;
         let steps = read.open_table(STEPS)?;
         let mut records = Vec::new();
         for entry in steps.iter()? {
-            let (number, line) = entry?;
-            let record = serde_json::from_slice(line.value())
-                .map_err(|why| HistoryError(format!("step {}: {why}", number.value())))?;
+            let (number, record_json) = entry?;
+            let record = serde_json::from_slice(record_json.value())
+                .map_err(|cause| HistoryError(format!("step {}: {cause}", number.value())))?;
             records.push(record);
         }
         Ok(records)
     }
 
-    /// The document of an epoch, if it is still kept.
+    /// The document of an epoch, if it is still stored.
     ///
     /// # Errors
-    /// The store can't be read, or the document in it can't.
+    /// The database can't be read, or the document in it can't be parsed.
     pub fn document(&self, epoch: Epoch) -> Result<Option<Bundle>, HistoryError> {
-        let read = self.store.begin_read()?;
+        let read = self.database.begin_read()?;
         let documents = read.open_table(DOCUMENTS)?;
-        let Some(text) = documents.get(epoch)? else { return Ok(None) };
-        let document = serde_json::from_slice(text.value())
-            .map_err(|why| HistoryError(format!("document of epoch {epoch}: {why}")))?;
+        let Some(document_json) = documents.get(epoch)? else { return Ok(None) };
+        let document = serde_json::from_slice(document_json.value())
+            .map_err(|cause| HistoryError(format!("document of epoch {epoch}: {cause}")))?;
         Ok(Some(document))
     }
 }
@@ -193,7 +201,7 @@
     }
 
     #[test]
-    fn what_was_kept_is_there_again_and_a_second_process_is_kept_out() {
+    fn reopening_restores_all_steps_and_opening_twice_or_damaged_fails() {
         let folder = std::env::temp_dir().join(format!("nickeljunction-store-{}", std::process::id()));
         let path = folder.join("deep/history.redb");
         let records = [
@@ -203,12 +211,14 @@
             step(2, Step::RolledBack { why: "x".into() }),
         ];
         {
-            let mut history = History::open(&path).expect("made");
+            let mut history = History::open(&path).expect("created");
             for record in &records {
-                let document = matches!(record.step, Step::Began { .. } | Step::Staged { .. });
-                history.append(record, document.then(|| bundle(record.epoch)).as_ref()).expect("kept");
+                let has_document = matches!(record.step, Step::Began { .. } | Step::Staged { .. });
+                history
+                    .append(record, has_document.then(|| bundle(record.epoch)).as_ref())
+                    .expect("appended");
             }
-            let second = History::open(&path).expect_err("open already");
+            let second = History::open(&path).expect_err("already open");
             assert!(second.to_string().contains("another process has it open"), "{second}");
         }
         let history = History::open(&path).expect("opened");
@@ -216,7 +226,7 @@
         assert_eq!(history.document(2).expect("read"), Some(bundle(2)));
         assert_eq!(history.document(9).expect("read"), None);
         drop(history);
-        // Damaged in its first bytes it is refused by name, and left alone.
+        // A file with a damaged header is rejected with its name in the error, and left unchanged.
         let mut bytes = std::fs::read(&path).expect("read");
         bytes[..64].fill(7);
         std::fs::write(&path, &bytes).expect("written");
@@ -226,15 +236,15 @@
     }
 
     #[test]
-    fn old_documents_go_with_their_steps_and_the_confirmed_one_stays() {
-        let mut history = History::in_memory().expect("made");
+    fn confirming_deletes_old_documents_with_their_steps_but_keeps_the_confirmed_one() {
+        let mut history = History::in_memory().expect("created");
         assert!(!history.is_durable());
         let last = MAX_DOCUMENTS + 20;
         for epoch in 1..=last {
             history
                 .append(&step(epoch, Step::Staged { change: change(epoch) }), Some(&bundle(epoch)))
-                .expect("kept");
-            history.append(&step(epoch, Step::Confirmed { who: "ann".into() }), None).expect("kept");
+                .expect("appended");
+            history.append(&step(epoch, Step::Confirmed { who: "ann".into() }), None).expect("appended");
         }
         let steps = history.steps().expect("read");
         assert_eq!(steps.first().map(|record| record.epoch), Some(20));
