--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,51 +1,52 @@
-//! Judges a history of operators' calls and answers: was there one register of versions, changed by compare-and-set, whose
-//! every change was acknowledged again when it was sent again? No I/O and no clock.
+//! Checks a history of operators' calls and answers against the guarantee of the control plane: the configuration version
+//! is one linearizable register, changed by compare-and-set, and a change that was applied is acknowledged again whenever
+//! it is sent again. The crate does no I/O and reads no clock.
 //!
 //! ```text
 //! check(&[Exchange { call: Call { operator, kind, base, version, digest, valid, sent_ms }, answer: Option<Answer> }])
 //!     -> Result<Summary, Violation>
 //! ```
 //!
-//! One [`Exchange`] is one copy of a call and what came back for it; copies of one order have the same kind, base, version
-//! and digest. Times are of one clock, ms; the order of the exchanges is of no account. A history has to hold all calls that
-//! change the configuration, those without an answer too: a version that nobody asked for is a violation.
+//! One [`Exchange`] is one copy of a call with its answer; copies of one change have the same kind, base, version and
+//! digest. All times are milliseconds of one clock; the order of the exchanges does not matter. A history has to hold all
+//! calls that change the configuration, including those without an answer: a version that no call names is a violation.
 
 mod chain;
 mod check;
 
 pub use check::{check, Summary, Violation};
 
-/// What kind of call it is.
+/// The kind of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A whole configuration: `PUT`.
+    /// `PUT`: replaces the whole configuration.
     Put,
-    /// Named items: `PATCH`.
+    /// `PATCH`: changes named items.
     Patch,
-    /// The newest configuration is asked for: `GET`.
+    /// `GET`: reads the newest configuration.
     Read,
 }
 
 /// One copy of a call, as it was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Who sent it.
+    /// The operator that sent the call.
     pub operator: u32,
-    /// What kind.
+    /// The kind of the call.
     pub kind: Kind,
-    /// The version that it builds on (`If-Match`); 0 for the first, and for reads.
+    /// The version that the change builds on (`If-Match`); 0 for the first change, and for reads.
     pub base: u64,
-    /// The version that it names; 0 for reads.
+    /// The version that the change creates; 0 for reads.
     pub version: u64,
-    /// Tells changes of one number apart: equal for copies of one order, whatever digest it is. Empty for reads.
+    /// Distinguishes changes with the same version: equal for copies of one change. Any digest will do. Empty for reads.
     pub digest: String,
-    /// The change is valid on top of `base`.
+    /// Whether the change is valid on top of `base`.
     pub valid: bool,
-    /// When it was sent, ms.
+    /// When the copy was sent, ms.
     pub sent_ms: u64,
 }
 
-/// What an answer says.
+/// The outcome that an answer reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// 2xx to a change.
@@ -54,32 +55,32 @@
     Read(u64),
     /// 409 or 412: another version is current.
     Conflict,
-    /// Another 4xx but 408 and 429: the change is wrong.
+    /// Any other 4xx except 408 and 429: the change is invalid.
     Invalid,
-    /// Anything else: 5xx, 408, 429, an answer that broke off. Redirects are followed, not noted down.
+    /// Anything else: 5xx, 408, 429 or a truncated answer. Redirects are followed and not recorded.
     Unclear,
 }
 
 /// The answer to a copy of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// What it says.
+    /// The reported outcome.
     pub status: Status,
-    /// When it was there, ms.
+    /// When the answer was received, ms.
     pub received_ms: u64,
 }
 
-/// One copy of a call and what came back for it.
+/// One copy of a call and its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exchange {
-    /// As sent.
+    /// The call as sent.
     pub call: Call,
-    /// `None`: nothing came back.
+    /// `None`: no answer was received.
     pub answer: Option<Answer>,
 }
 
 impl Exchange {
-    /// What the answer says; no answer says nothing.
+    /// The reported outcome; [`Status::Unclear`] without an answer.
     pub(crate) fn status(&self) -> Status {
         self.answer.map_or(Status::Unclear, |answer| answer.status)
     }
