--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,6 +1,6 @@
-//! Checks a history of operators' calls and answers against the guarantee of the control plane: the configuration version
-//! is one linearizable register, changed by compare-and-set, and a change that was applied is acknowledged again whenever
-//! it is sent again. The crate does no I/O and reads no clock.
+//! Checks a history of operators' calls and answers against the guarantee of the control plane: the configuration
+//! version is one linearizable register, changed by compare-and-set, and a change that was applied is acknowledged
+//! again whenever it is sent again. The crate does no I/O and reads no clock.
 //!
 //! ```text
 //! check(&[Exchange { call: Call { operator, kind, base, version, digest, valid, sent_ms }, answer: Option<Answer> }])
