--- a/crates/edge/tests/exchange.rs
+++ b/crates/edge/tests/exchange.rs
@@ -1,5 +1,7 @@
-//! An answer goes to the call that asked or to nobody, and what may have run is not sent again: every short story of a
-//! connection, walked through the decisions without sockets, and every place at which a real connection may end.
+//! Tests that an answer is delivered only to the request that it belongs to, and that a request which a server may have
+//! executed is not sent again unless its route allows retries. The decisions on a connection are run without sockets:
+//! exhaustively for short sequences of server output, and at random for the positions where reads are cut and where the
+//! connection ends.
 
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::RetrySafety;
@@ -12,401 +14,483 @@
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashSet};
 
-/// What may come from a server while a call waits.
+/// One piece of server output that can arrive while a call waits for its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Item {
-    Good,
-    GoodAndClose,
-    GoodInChunks,
-    Failure,
-    Unclear,
-    TurnedAway,
+enum ServerOutput {
+    Success,
+    SuccessAndClose,
+    SuccessChunked,
+    SealedFailure,
+    UnsealedFailure,
+    NotExecuted,
     Misdirected,
-    NoSeal,
-    NoId,
-    /// A second or late answer to the latest, or the first, of the earlier calls on the connection.
-    Latest,
-    First,
+    MissingSeal,
+    MissingId,
+    /// A duplicate or late answer to the most recent earlier call on the connection.
+    AnswerToLatest,
+    /// A duplicate or late answer to the first call on the connection.
+    AnswerToFirst,
     Interim,
-    Noise,
-    /// The beginning of a good answer; nothing follows it.
-    Half,
+    InvalidBytes,
+    /// The first half of a successful answer, with nothing after it.
+    Truncated,
 }
 
-use Item::*;
-const ITEMS: [Item; 14] = [
-    Good,
-    GoodAndClose,
-    GoodInChunks,
-    Failure,
-    Unclear,
-    TurnedAway,
+use ServerOutput::*;
+const OUTPUTS: [ServerOutput; 14] = [
+    Success,
+    SuccessAndClose,
+    SuccessChunked,
+    SealedFailure,
+    UnsealedFailure,
+    NotExecuted,
     Misdirected,
-    NoSeal,
-    NoId,
-    Latest,
-    First,
+    MissingSeal,
+    MissingId,
+    AnswerToLatest,
+    AnswerToFirst,
     Interim,
-    Noise,
-    Half,
+    InvalidBytes,
+    Truncated,
 ];
 
-/// How much of the request goes out.
+/// How much of the request the gateway writes to the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wrote {
+enum Written {
     Nothing,
-    Some,
-    All,
+    Partial,
+    Complete,
 }
 
-/// A call and what it meets.
+/// A request and the server output that follows it.
 #[derive(Debug, Clone)]
 struct Call {
     number: usize,
-    to_head: bool,
-    repeat: RetrySafety,
-    wrote: Wrote,
-    items: Vec<Item>,
+    is_head: bool,
+    retry_safety: RetrySafety,
+    written: Written,
+    outputs: Vec<ServerOutput>,
 }
 
-fn id(number: usize) -> String {
+fn attempt_id(number: usize) -> String {
     format!("id-{number}")
 }
 
-/// A body that would pass for an answer to the next calls, were it read as one.
-fn body(number: usize) -> String {
+/// A body that contains valid answers to the next two calls, in case the gateway parses body bytes as an answer.
+fn forging_body(number: usize) -> String {
     let forged = |other| {
         format!(
             "HTTP/1.1 200 X\r\nX-Attempt-Id: {}\r\nX-Response-Seal: s\r\nContent-Length: 4\r\n\r\nevil",
-            id(other)
+            attempt_id(other)
         )
     };
     format!("{}{}{}", forged(number + 1), forged(number + 2), number)
 }
 
-fn answer(number: usize, status: u16, lines: &str, to_head: bool) -> Vec<u8> {
-    let body = body(number);
+fn encode_answer(number: usize, status: u16, lines: &str, is_head: bool) -> Vec<u8> {
+    let body = forging_body(number);
     let head = format!(
         "HTTP/1.1 {status} X\r\nX-Attempt-Id: {}\r\nContent-Length: {}\r\n{lines}\r\n",
-        id(number),
+        attempt_id(number),
         body.len()
     );
-    [head.as_bytes(), if to_head { b"" } else { body.as_bytes() }].concat()
+    [head.as_bytes(), if is_head { b"" } else { body.as_bytes() }].concat()
 }
 
 const SEAL: &str = "X-Response-Seal: s\r\n";
 
-/// The bytes of an item for a call; `earlier`: which of the earlier calls on the connection were `HEAD`.
-fn bytes(item: Item, call: &Call, earlier: &[bool]) -> Vec<u8> {
-    let (number, to_head) = (call.number, call.to_head);
-    let own = |status, lines: &str| answer(number, status, lines, to_head);
-    match item {
-        Good => own(200, SEAL),
-        GoodAndClose => own(200, "X-Response-Seal: s\r\nConnection: close\r\n"),
-        GoodInChunks if to_head => own(200, SEAL),
-        GoodInChunks => {
-            let body = body(number);
-            let (one, two) = body.split_at(10);
+/// Encodes a piece of server output for a call. `earlier_heads` says for each earlier call on the connection whether it
+/// was a `HEAD` request.
+fn encode(output: ServerOutput, call: &Call, earlier_heads: &[bool]) -> Vec<u8> {
+    let (number, is_head) = (call.number, call.is_head);
+    let own_answer = |status, lines: &str| encode_answer(number, status, lines, is_head);
+    match output {
+        Success => own_answer(200, SEAL),
+        SuccessAndClose => own_answer(200, "X-Response-Seal: s\r\nConnection: close\r\n"),
+        SuccessChunked if is_head => own_answer(200, SEAL),
+        SuccessChunked => {
+            let body = forging_body(number);
+            let (first_chunk, second_chunk) = body.split_at(10);
             let head = format!(
                 "HTTP/1.1 200 X\r\nX-Attempt-Id: {}\r\n{SEAL}Transfer-Encoding: chunked\r\n\r\n",
-                id(number)
+                attempt_id(number)
             );
-            format!("{head}a\r\n{one}\r\n{:x};x=y\r\n{two}\r\n0\r\nX-Late: 1\r\n\r\n", two.len()).into_bytes()
+            format!(
+                "{head}a\r\n{first_chunk}\r\n{:x};x=y\r\n{second_chunk}\r\n0\r\nX-Late: 1\r\n\r\n",
+                second_chunk.len()
+            )
+            .into_bytes()
         }
-        Failure => own(500, SEAL),
-        Unclear => own(503, ""),
-        TurnedAway => own(503, "X-Not-Executed: 1\r\n"),
-        Misdirected => own(421, ""),
-        NoSeal => own(200, ""),
-        NoId => format!("HTTP/1.1 200 X\r\n{SEAL}Content-Length: 0\r\n\r\n").into_bytes(),
-        Latest => answer(earlier.len() - 1, 200, SEAL, earlier[earlier.len() - 1]),
-        First => answer(0, 200, SEAL, earlier[0]),
+        SealedFailure => own_answer(500, SEAL),
+        UnsealedFailure => own_answer(503, ""),
+        NotExecuted => own_answer(503, "X-Not-Executed: 1\r\n"),
+        Misdirected => own_answer(421, ""),
+        MissingSeal => own_answer(200, ""),
+        MissingId => format!("HTTP/1.1 200 X\r\n{SEAL}Content-Length: 0\r\n\r\n").into_bytes(),
+        AnswerToLatest => {
+            encode_answer(earlier_heads.len() - 1, 200, SEAL, earlier_heads[earlier_heads.len() - 1])
+        }
+        AnswerToFirst => encode_answer(0, 200, SEAL, earlier_heads[0]),
         Interim => b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(),
-        Noise => b"\x16\x03\x01noise\r\n\r\n".to_vec(),
-        Half => {
-            let whole = own(200, SEAL);
-            whole[..whole.len() / 2].to_vec()
+        InvalidBytes => b"\x16\x03\x01noise\r\n\r\n".to_vec(),
+        Truncated => {
+            let complete = own_answer(200, SEAL);
+            complete[..complete.len() / 2].to_vec()
         }
     }
 }
 
-/// What a call was told, and what it left behind.
+/// The result of a call and the state of its connection afterwards.
 #[derive(Debug, PartialEq)]
-struct Told {
-    /// Status and body, as its client gets them.
+struct CallOutcome {
+    /// Status and body that the client receives.
     delivered: Option<(u16, Bytes)>,
     sends: SendCounts,
-    /// The connection is kept, with what was left of what had been read.
-    kept: Option<Vec<u8>>,
-    /// So many of the pieces were read; the others come while the connection is idle or behind the next request.
-    read: usize,
+    /// The unconsumed bytes of a connection that may be reused; `None` if it is closed.
+    reusable: Option<Vec<u8>>,
+    /// Number of pieces read. The others arrive while the connection is idle or after the next request.
+    pieces_read: usize,
 }
 
-/// Plays one call as the gateway does, its answers read in these pieces; after the last one the connection ends or the
-/// call is given up.
-fn play(call: &Call, carried: &mut ConnectionHistory, left: &[u8], pieces: &[Vec<u8>]) -> Told {
+/// Runs one call as the gateway does, with one read per piece. After the last piece the connection ends or the call is
+/// cancelled.
+fn run_call(
+    call: &Call,
+    history: &mut ConnectionHistory,
+    leftover: &[u8],
+    pieces: &[Vec<u8>],
+) -> CallOutcome {
     let mut sends = SendCounts::default();
     sends.begin();
-    if call.wrote == Wrote::Nothing {
+    if call.written == Written::Nothing {
         sends.cancel();
-        return Told { delivered: None, sends, kept: None, read: pieces.len() };
+        return CallOutcome { delivered: None, sends, reusable: None, pieces_read: pieces.len() };
     }
     sends.mark_exposed();
-    carried.record_request(call.to_head);
-    let mut came = AnswerReader::new(&id(call.number), call.to_head, *carried);
-    came.buffer.extend_from_slice(left);
-    if call.wrote == Wrote::Some {
-        came.mark_request_incomplete();
+    history.record_request(call.is_head);
+    let mut answer_reader = AnswerReader::new(&attempt_id(call.number), call.is_head, *history);
+    answer_reader.buffer.extend_from_slice(leftover);
+    if call.written == Written::Partial {
+        answer_reader.mark_request_incomplete();
     }
-    let read = Cell::new(0);
-    let more = |came: &mut AnswerReader| {
-        let piece = pieces.get(read.replace(read.get() + 1))?;
-        came.buffer.extend_from_slice(piece);
+    let pieces_read = Cell::new(0);
+    let read_next = |answer_reader: &mut AnswerReader| {
+        let piece = pieces.get(pieces_read.replace(pieces_read.get() + 1))?;
+        answer_reader.buffer.extend_from_slice(piece);
         Some(())
     };
     let head = loop {
-        match came.read_head() {
+        match answer_reader.read_head() {
             Ok(Some(head)) => break head,
-            Ok(None) if more(&mut came).is_some() => {}
-            _ => return Told { delivered: None, sends, kept: None, read: pieces.len() },
+            Ok(None) if read_next(&mut answer_reader).is_some() => {}
+            _ => return CallOutcome { delivered: None, sends, reusable: None, pieces_read: pieces.len() },
         }
     };
-    let mut reader = BodyReader::new(head.framing, u64::MAX).expect("no bound");
-    let verdict = judge_answer(&head, call.repeat);
-    let waits = match verdict {
+    let mut body_reader = BodyReader::new(head.framing, u64::MAX).expect("no bound");
+    let verdict = judge_answer(&head, call.retry_safety);
+    let may_wait = match verdict {
         AnswerVerdict::NotExecuted { .. } => {
             sends.mark_not_executed();
             false
         }
-        AnswerVerdict::Mismatch(_) => return Told { delivered: None, sends, kept: None, read: pieces.len() },
+        AnswerVerdict::Mismatch(_) => {
+            return CallOutcome { delivered: None, sends, reusable: None, pieces_read: pieces.len() }
+        }
         AnswerVerdict::Deliver(_) | AnswerVerdict::TryElsewhere { .. } => true,
     };
     let mut body = BytesMut::new();
-    while !reader.is_complete() {
-        match reader.next(&mut came.buffer) {
+    while !body_reader.is_complete() {
+        match body_reader.next(&mut answer_reader.buffer) {
             Ok(Chunk::Part(part)) => body.extend_from_slice(&part),
             Ok(Chunk::End) => {}
-            Ok(Chunk::Incomplete) if waits && more(&mut came).is_some() => {}
+            Ok(Chunk::Incomplete) if may_wait && read_next(&mut answer_reader).is_some() => {}
             _ => break,
         }
     }
-    let whole = reader.is_complete();
+    let complete = body_reader.is_complete();
     let misdirected = verdict == AnswerVerdict::NotExecuted { misdirected: true };
     let delivered = match verdict {
-        AnswerVerdict::Deliver(_) if whole => Some((head.status, body.freeze())),
+        AnswerVerdict::Deliver(_) if complete => Some((head.status, body.freeze())),
         _ => None,
     };
-    let kept = came.is_reusable(whole && !misdirected).then(|| came.buffer.to_vec());
-    Told { delivered, sends, kept, read: read.get() }
+    let reusable = answer_reader.is_reusable(complete && !misdirected).then(|| answer_reader.buffer.to_vec());
+    CallOutcome { delivered, sends, reusable, pieces_read: pieces_read.get() }
 }
 
-/// What the rule wants of a call that was told this.
-fn check(call: &Call, told: &Told, read: &[Item], earlier: &[bool]) {
-    let story = || format!("{call:?} after {earlier:?}: {told:?}");
-    if let Some((status, got)) = &told.delivered {
-        let own = call.items.iter().any(|item| match item {
-            Good | GoodAndClose | GoodInChunks => *status == 200,
-            Failure => *status == 500 && call.repeat == RetrySafety::AtMostOnce,
+/// Checks that the outcome follows the rules for delivery, retries and connection reuse.
+fn check_outcome(call: &Call, outcome: &CallOutcome, read: &[ServerOutput], earlier_heads: &[bool]) {
+    let context = || format!("{call:?} after {earlier_heads:?}: {outcome:?}");
+    if let Some((status, received)) = &outcome.delivered {
+        let is_own = call.outputs.iter().any(|output| match output {
+            Success | SuccessAndClose | SuccessChunked => *status == 200,
+            SealedFailure => *status == 500 && call.retry_safety == RetrySafety::AtMostOnce,
             _ => false,
         });
-        let wanted = if call.to_head { String::new() } else { body(call.number) };
-        assert!(own && got[..] == *wanted.as_bytes(), "another call's answer: {}", story());
+        let expected = if call.is_head { String::new() } else { forging_body(call.number) };
+        assert!(
+            is_own && received[..] == *expected.as_bytes(),
+            "delivered an answer to another call: {}",
+            context()
+        );
     }
-    // One late answer may come first, two are no accident.
-    let late =
-        read.iter().filter(|item| **item != Interim).take(2).all(|item| matches!(item, Latest | First));
-    assert!(!(late && read.len() > 2 && told.delivered.is_some()), "two late answers: {}", story());
-    // A server that vouches is right; any other that had a byte may have run it.
-    let vouched = call.items.iter().any(|item| matches!(item, TurnedAway | Misdirected));
-    let may_have_run = call.wrote != Wrote::Nothing && !vouched;
+    // A single late answer before the call's own is tolerated. Two are not an accident: nothing that follows them on the
+    // connection may be delivered.
+    let only_late = read
+        .iter()
+        .filter(|output| **output != Interim)
+        .take(2)
+        .all(|output| matches!(output, AnswerToLatest | AnswerToFirst));
+    assert!(
+        !(only_late && read.len() > 2 && outcome.delivered.is_some()),
+        "delivered after two late answers: {}",
+        context()
+    );
+    // A server that states that it did not execute the request is believed. Any other server that received at least
+    // one byte may have executed it.
+    let stated_not_executed = call.outputs.iter().any(|output| matches!(output, NotExecuted | Misdirected));
+    let may_have_run = call.written != Written::Nothing && !stated_not_executed;
     if may_have_run {
-        assert!(told.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_err(), "sent twice: {}", story());
-        assert!(!told.sends.may_refuse(RetrySafety::AtMostOnce), "refused what may have run: {}", story());
+        assert!(
+            outcome.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_err(),
+            "retry allowed although a server may have executed it: {}",
+            context()
+        );
+        assert!(
+            !outcome.sends.may_refuse(RetrySafety::AtMostOnce),
+            "refusal allowed although a server may have executed it: {}",
+            context()
+        );
     }
-    if call.wrote == Wrote::Nothing {
+    if call.written == Written::Nothing {
         assert!(
-            told.sends.check_allowed(RetrySafety::AtMostOnce, 1).is_ok() && told.sends.begun() == 0,
+            outcome.sends.check_allowed(RetrySafety::AtMostOnce, 1).is_ok() && outcome.sends.begun() == 0,
             "{}",
-            story()
+            context()
         );
     }
     assert!(
-        told.sends.check_allowed(call.repeat, told.sends.begun()).is_err(),
-        "beyond the route's most: {}",
-        story()
+        outcome.sends.check_allowed(call.retry_safety, outcome.sends.begun()).is_err(),
+        "more attempts than the route allows: {}",
+        context()
     );
-    // Only one whose answer was read to its end, with nothing after it, carries another call.
-    if let Some(left) = &told.kept {
-        let plain =
-            read.iter().all(|item| !matches!(item, Latest | First | NoId | Noise | Half | GoodAndClose));
-        assert!(left.is_empty() && call.wrote == Wrote::All && plain, "kept: {}", story());
+    // A connection is reused only if the answer was read to its end and no bytes follow it.
+    if let Some(buffer) = &outcome.reusable {
+        let reuse_allowed = read.iter().all(|output| {
+            !matches!(
+                output,
+                AnswerToLatest | AnswerToFirst | MissingId | InvalidBytes | Truncated | SuccessAndClose
+            )
+        });
+        assert!(
+            buffer.is_empty() && call.written == Written::Complete && reuse_allowed,
+            "connection reused: {}",
+            context()
+        );
     }
 }
 
-/// All sequences of up to `most` items; those of earlier calls only where there are some, and none behind a half.
-fn stories(most: usize, earlier: usize) -> Vec<Vec<Item>> {
-    let (mut all, mut last) = (vec![vec![]], vec![vec![]]);
-    for _ in 0..most {
+/// All sequences of up to `limit` pieces of output. Answers to earlier calls occur only if there were such calls, and
+/// nothing follows a truncated answer.
+fn output_sequences(limit: usize, earlier_calls: usize) -> Vec<Vec<ServerOutput>> {
+    let (mut sequences, mut longest) = (vec![vec![]], vec![vec![]]);
+    for _ in 0..limit {
         let mut next = Vec::new();
-        for story in last.iter().filter(|story: &&Vec<Item>| story.last() != Some(&Half)) {
-            for item in ITEMS {
-                let there = match item {
-                    Latest => earlier > 0,
-                    First => earlier > 1,
+        for sequence in
+            longest.iter().filter(|sequence: &&Vec<ServerOutput>| sequence.last() != Some(&Truncated))
+        {
+            for output in OUTPUTS {
+                let possible = match output {
+                    AnswerToLatest => earlier_calls > 0,
+                    AnswerToFirst => earlier_calls > 1,
                     _ => true,
                 };
-                if there {
-                    next.push([&story[..], &[item]].concat());
+                if possible {
+                    next.push([&sequence[..], &[output]].concat());
                 }
             }
         }
-        all.extend(next.iter().cloned());
-        last = next;
+        sequences.extend(next.iter().cloned());
+        longest = next;
     }
-    all
+    sequences
 }
 
 #[test]
-fn every_short_story_of_a_connection_keeps_to_the_rule() {
-    let mut open = vec![(Vec::<bool>::new(), ConnectionHistory::default())];
-    let (mut seen, mut calls, mut states) = (HashSet::from([Vec::<bool>::new()]), 0_u64, 0_usize);
-    while let Some((earlier, carried)) = open.pop() {
+fn short_output_sequences_never_cause_wrong_delivery_or_unsafe_retry() {
+    let mut pending = vec![(Vec::<bool>::new(), ConnectionHistory::default())];
+    let (mut visited, mut calls, mut states) = (HashSet::from([Vec::<bool>::new()]), 0_u64, 0_usize);
+    while let Some((earlier_heads, history)) = pending.pop() {
         states += 1;
-        let most = if earlier.len() < 2 { 3 } else { 2 };
-        for items in stories(most, earlier.len()) {
-            for (to_head, repeat, wrote) in ways() {
-                let call = Call { number: earlier.len(), to_head, repeat, wrote, items: items.clone() };
-                let apart: Vec<Vec<u8>> = items.iter().map(|item| bytes(*item, &call, &earlier)).collect();
-                for pieces in [&apart[..], &[apart.concat()]] {
-                    let mut carried = carried;
-                    let told = play(&call, &mut carried, &[], pieces);
-                    let read = if pieces.len() == items.len() { told.read } else { items.len() };
-                    check(&call, &told, &items[..read.min(items.len())], &earlier);
+        let limit = if earlier_heads.len() < 2 { 3 } else { 2 };
+        for outputs in output_sequences(limit, earlier_heads.len()) {
+            for (is_head, retry_safety, written) in call_variants() {
+                let call = Call {
+                    number: earlier_heads.len(),
+                    is_head,
+                    retry_safety,
+                    written,
+                    outputs: outputs.clone(),
+                };
+                let separate: Vec<Vec<u8>> =
+                    outputs.iter().map(|output| encode(*output, &call, &earlier_heads)).collect();
+                for pieces in [&separate[..], &[separate.concat()]] {
+                    let mut history = history;
+                    let outcome = run_call(&call, &mut history, &[], pieces);
+                    let read =
+                        if pieces.len() == outputs.len() { outcome.pieces_read } else { outputs.len() };
+                    check_outcome(&call, &outcome, &outputs[..read.min(outputs.len())], &earlier_heads);
                     calls += 1;
-                    let next = [&earlier[..], &[to_head]].concat();
-                    if told.kept.is_some() && next.len() < 4 && seen.insert(next.clone()) {
-                        open.push((next, carried));
+                    let next = [&earlier_heads[..], &[is_head]].concat();
+                    if outcome.reusable.is_some() && next.len() < 4 && visited.insert(next.clone()) {
+                        pending.push((next, history));
                     }
                 }
             }
         }
     }
-    println!("{calls} calls on {states} states of a connection");
-    assert!(states == 15 && calls > 100_000, "{calls} calls on {states} states");
+    println!("{calls} calls in {states} connection states");
+    assert!(states == 15 && calls > 100_000, "{calls} calls in {states} connection states");
 }
 
-fn ways() -> impl Iterator<Item = (bool, RetrySafety, Wrote)> {
-    let wrote = [Wrote::Nothing, Wrote::Some, Wrote::All];
-    let ways = [false, true].into_iter().flat_map(|to_head| {
-        [RetrySafety::AtMostOnce, RetrySafety::Idempotent].into_iter().map(move |repeat| (to_head, repeat))
+fn call_variants() -> impl Iterator<Item = (bool, RetrySafety, Written)> {
+    let amounts = [Written::Nothing, Written::Partial, Written::Complete];
+    let heads_and_safety = [false, true].into_iter().flat_map(|is_head| {
+        [RetrySafety::AtMostOnce, RetrySafety::Idempotent]
+            .into_iter()
+            .map(move |retry_safety| (is_head, retry_safety))
     });
-    ways.flat_map(move |(to_head, repeat)| wrote.into_iter().map(move |wrote| (to_head, repeat, wrote)))
+    heads_and_safety.flat_map(move |(is_head, retry_safety)| {
+        amounts.into_iter().map(move |written| (is_head, retry_safety, written))
+    })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What a call is told doesn't depend on how its answer is cut into reads, and an end at any byte tells no lie.
+    /// The outcome of a call does not depend on how its answer is split into reads. If the connection ends early, the
+    /// client receives the same answer as without the early end, or none.
     #[test]
-    fn answers_mean_the_same_however_they_are_cut_and_wherever_they_end(
-        picks in proptest::collection::vec(0..ITEMS.len(), 1..4),
-        earlier in proptest::collection::vec(any::<bool>(), 2..4),
-        to_head in any::<bool>(),
-        once in any::<bool>(),
+    fn outcome_is_independent_of_read_boundaries_and_safe_at_any_end(
+        picks in proptest::collection::vec(0..OUTPUTS.len(), 1..4),
+        earlier_heads in proptest::collection::vec(any::<bool>(), 2..4),
+        is_head in any::<bool>(),
+        at_most_once in any::<bool>(),
         cuts in proptest::collection::vec(any::<prop::sample::Index>(), 0..12),
         end in any::<prop::sample::Index>(),
     ) {
-        let items: Vec<Item> = picks.iter().map(|pick| ITEMS[*pick]).collect();
-        let half = items.iter().position(|item| *item == Half).map_or(items.len(), |at| at + 1);
-        let repeat = if once { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
-        let call = Call { number: earlier.len(), to_head, repeat, wrote: Wrote::All, items: items[..half].to_vec() };
-        let mut carried = ConnectionHistory::default();
-        earlier.iter().for_each(|head| carried.record_request(*head));
-        let apart: Vec<Vec<u8>> = call.items.iter().map(|item| bytes(*item, &call, &earlier)).collect();
-        let all = apart.concat();
-        let places: BTreeSet<usize> = cuts.iter().map(|cut| cut.index(all.len() + 1)).chain([0, all.len()]).collect();
-        let places: Vec<usize> = places.into_iter().collect();
-        let cut: Vec<Vec<u8>> = places.windows(2).map(|pair| all[pair[0]..pair[1]].to_vec()).collect();
-        let by_item = play(&call, &mut carried.clone(), &[], &apart);
-        let by_cut = play(&call, &mut carried.clone(), &[], &cut);
-        check(&call, &by_item, &call.items[..by_item.read.min(call.items.len())], &earlier);
-        prop_assert_eq!((&by_cut.delivered, by_cut.sends), (&by_item.delivered, by_item.sends));
-        // Ended before its last byte.
-        let ended = play(&call, &mut carried.clone(), &[], &[all[..end.index(all.len().max(1))].to_vec()]);
-        if let Some(delivered) = &ended.delivered {
-            prop_assert_eq!(Some(delivered), by_item.delivered.as_ref());
+        let outputs: Vec<ServerOutput> = picks.iter().map(|pick| OUTPUTS[*pick]).collect();
+        let sequence_end =
+            outputs.iter().position(|output| *output == Truncated).map_or(outputs.len(), |index| index + 1);
+        let retry_safety = if at_most_once { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
+        let outputs = outputs[..sequence_end].to_vec();
+        let call = Call { number: earlier_heads.len(), is_head, retry_safety, written: Written::Complete, outputs };
+        let mut history = ConnectionHistory::default();
+        earlier_heads.iter().for_each(|head| history.record_request(*head));
+        let separate: Vec<Vec<u8>> =
+            call.outputs.iter().map(|output| encode(*output, &call, &earlier_heads)).collect();
+        let stream = separate.concat();
+        let boundaries: BTreeSet<usize> =
+            cuts.iter().map(|cut| cut.index(stream.len() + 1)).chain([0, stream.len()]).collect();
+        let boundaries: Vec<usize> = boundaries.into_iter().collect();
+        let cut_pieces: Vec<Vec<u8>> =
+            boundaries.windows(2).map(|pair| stream[pair[0]..pair[1]].to_vec()).collect();
+        let by_output = run_call(&call, &mut history.clone(), &[], &separate);
+        let by_cut = run_call(&call, &mut history.clone(), &[], &cut_pieces);
+        let read = &call.outputs[..by_output.pieces_read.min(call.outputs.len())];
+        check_outcome(&call, &by_output, read, &earlier_heads);
+        prop_assert_eq!((&by_cut.delivered, by_cut.sends), (&by_output.delivered, by_output.sends));
+        // The connection ends before the last byte.
+        let truncated = stream[..end.index(stream.len().max(1))].to_vec();
+        let by_early_end = run_call(&call, &mut history.clone(), &[], &[truncated]);
+        if let Some(delivered) = &by_early_end.delivered {
+            prop_assert_eq!(Some(delivered), by_output.delivered.as_ref());
         }
-        prop_assert!(ended.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_err() || by_item.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_ok());
+        prop_assert!(
+            by_early_end.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_err()
+                || by_output.sends.check_allowed(RetrySafety::AtMostOnce, 9).is_ok()
+        );
     }
 }
 
-/// How far one send of a request has come.
+/// Progress of one attempt to send a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Send {
+enum AttemptState {
+    /// No byte was written yet.
     Begun,
+    /// The server may have received a byte.
     Exposed,
+    /// Ended before a byte was written.
     Unsent,
-    Vouched,
-    /// Ended for another send before anything of it had gone out.
-    Cut,
+    /// The server stated that it did not execute the request.
+    NotExecuted,
+    /// Cancelled in favour of another attempt before any byte of it was written.
+    Cancelled,
 }
 
-/// What a step of a send does to the ledger.
-type Change = fn(&mut SendCounts);
+/// The update of the counts that belongs to a transition of an attempt.
+type CountsUpdate = fn(&mut SendCounts);
 
-/// All orders of up to so many steps of the sends of one request: begin another where that is allowed, or move one on.
-fn sends_walk(
-    ledger: SendCounts,
-    sends: &[Send],
-    repeat: RetrySafety,
-    most: u32,
+/// Explores all interleavings of up to `steps` steps of the attempts of one request. A step begins another attempt where
+/// that is allowed, or advances one.
+fn explore_attempts(
+    counts: SendCounts,
+    attempts: &[AttemptState],
+    retry_safety: RetrySafety,
+    limit: u32,
     steps: usize,
-    walked: &mut u64,
+    visited: &mut u64,
 ) {
-    *walked += 1;
-    let count = |state| sends.iter().filter(|send| **send == state).count() as u32;
-    assert_eq!(ledger.begun(), sends.len() as u32 - count(Send::Unsent), "{sends:?}");
-    assert!(ledger.begun() <= most, "more servers than the route allows: {sends:?}");
-    if repeat == RetrySafety::AtMostOnce {
-        assert_eq!(ledger.may_refuse(repeat), count(Send::Exposed) == 0, "{sends:?}");
+    *visited += 1;
+    let count = |state| attempts.iter().filter(|attempt| **attempt == state).count() as u32;
+    assert_eq!(counts.begun(), attempts.len() as u32 - count(AttemptState::Unsent), "{attempts:?}");
+    assert!(counts.begun() <= limit, "more attempts than the route allows: {attempts:?}");
+    if retry_safety == RetrySafety::AtMostOnce {
+        assert_eq!(counts.may_refuse(retry_safety), count(AttemptState::Exposed) == 0, "{attempts:?}");
     }
     if steps == 0 {
         return;
     }
-    // The gateway cuts off a send that has not gone out before it begins another one that must not run twice.
-    if ledger.check_allowed(repeat, most).is_ok() {
-        assert!(repeat != RetrySafety::AtMostOnce || count(Send::Exposed) == 0, "twice: {sends:?}");
-        let (mut ledger, mut sends) = (ledger, sends.to_vec());
-        ledger.begin();
-        let begun =
-            sends.iter_mut().filter(|send| repeat == RetrySafety::AtMostOnce && **send == Send::Begun);
-        begun.for_each(|send| *send = Send::Cut);
-        sends.push(Send::Begun);
-        sends_walk(ledger, &sends, repeat, most, steps - 1, walked);
+    // For a request that must not run twice, the gateway cancels an unsent attempt before it begins another one.
+    if counts.check_allowed(retry_safety, limit).is_ok() {
+        assert!(
+            retry_safety != RetrySafety::AtMostOnce || count(AttemptState::Exposed) == 0,
+            "second attempt although a server may have executed the first: {attempts:?}"
+        );
+        let (mut counts, mut attempts) = (counts, attempts.to_vec());
+        counts.begin();
+        let begun = attempts
+            .iter_mut()
+            .filter(|attempt| retry_safety == RetrySafety::AtMostOnce && **attempt == AttemptState::Begun);
+        begun.for_each(|attempt| *attempt = AttemptState::Cancelled);
+        attempts.push(AttemptState::Begun);
+        explore_attempts(counts, &attempts, retry_safety, limit, steps - 1, visited);
     }
-    for (at, send) in sends.iter().enumerate() {
-        let moves: &[(Send, Change)] = match send {
-            Send::Begun => &[(Send::Exposed, SendCounts::mark_exposed), (Send::Unsent, SendCounts::cancel)],
-            Send::Exposed => &[(Send::Vouched, SendCounts::mark_not_executed)],
-            Send::Unsent | Send::Vouched | Send::Cut => &[],
+    for (index, attempt) in attempts.iter().enumerate() {
+        let transitions: &[(AttemptState, CountsUpdate)] = match attempt {
+            AttemptState::Begun => &[
+                (AttemptState::Exposed, SendCounts::mark_exposed),
+                (AttemptState::Unsent, SendCounts::cancel),
+            ],
+            AttemptState::Exposed => &[(AttemptState::NotExecuted, SendCounts::mark_not_executed)],
+            AttemptState::Unsent | AttemptState::NotExecuted | AttemptState::Cancelled => &[],
         };
-        for (to, change) in moves {
-            let (mut ledger, mut sends) = (ledger, sends.to_vec());
-            change(&mut ledger);
-            sends[at] = *to;
-            sends_walk(ledger, &sends, repeat, most, steps - 1, walked);
+        for (next_state, update) in transitions {
+            let (mut counts, mut attempts) = (counts, attempts.to_vec());
+            update(&mut counts);
+            attempts[index] = *next_state;
+            explore_attempts(counts, &attempts, retry_safety, limit, steps - 1, visited);
         }
     }
 }
 
 #[test]
-fn no_order_of_sends_passes_the_routes_most_or_runs_twice_what_must_not() {
-    let mut walked = 0;
-    for repeat in [RetrySafety::AtMostOnce, RetrySafety::Idempotent] {
-        for most in 1..=3 {
-            sends_walk(SendCounts::default(), &[], repeat, most, 8, &mut walked);
+fn no_interleaving_of_attempts_exceeds_the_limit_or_runs_twice() {
+    let mut visited = 0;
+    for retry_safety in [RetrySafety::AtMostOnce, RetrySafety::Idempotent] {
+        for limit in 1..=3 {
+            explore_attempts(SendCounts::default(), &[], retry_safety, limit, 8, &mut visited);
         }
     }
-    println!("{walked} states of sends");
-    assert!(walked > 5_000, "{walked}");
+    println!("{visited} combinations of attempt states");
+    assert!(visited > 5_000, "{visited}");
 }
