--- a/crates/edge/tests/keyed.rs
+++ b/crates/edge/tests/keyed.rs
@@ -1,4 +1,5 @@
-//! Keyed operations at gateways whose core and whose servers are scripted: each runs once at most, and repeats are told so.
+//! Tests of keyed operations at several gateways with a scripted core and a fake proxy: an operation runs at most once,
+//! and repeated requests receive the answer of the first run or an error that says why there is none.
 
 mod frontend_fixture;
 
@@ -17,58 +18,58 @@
 use tokio::io::DuplexStream;
 use tokio::sync::Notify;
 
-/// How long a unit is good that runs out amid a test, ms: longer than a busy machine takes to begin with a request.
-const UNIT_MS: f64 = 400.0;
+/// Validity of a unit that expires during a test. A busy machine must be able to start a request within it.
+const UNIT_VALIDITY_MS: f64 = 400.0;
 
-/// What the scripted leader does with a claim.
+/// The scripted leader's reaction to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Leader {
     Answers,
-    /// It takes a claim, and its answer is lost.
-    TakesSilently,
+    /// Applies the claim, but the answer is lost.
+    AppliesWithoutAnswer,
     Unreachable,
     Full,
-    /// It answers once [`Core::go_on`] is notified.
-    Waits,
+    /// Answers after [`FakeCore::resume`] is notified.
+    WaitsForResume,
 }
 
-/// The core, and the ways between gateways.
-struct Core {
+/// A core with a scripted leader, which also carries recall calls between the gateways.
+struct FakeCore {
     leader: Cell<Leader>,
-    go_on: Notify,
-    cut_off: Cell<bool>,
+    resume: Notify,
+    unreachable: Cell<bool>,
     holders: RefCell<HashMap<OperationId, Claimant>>,
     calls: RefCell<Vec<ClaimCall>>,
     gateways: RefCell<HashMap<u64, Rc<RefCell<OperationTable>>>>,
 }
 
-impl Core {
-    fn new() -> Rc<Core> {
-        Rc::new(Core {
+impl FakeCore {
+    fn new() -> Rc<FakeCore> {
+        Rc::new(FakeCore {
             leader: Cell::new(Leader::Answers),
-            go_on: Notify::new(),
-            cut_off: Cell::new(false),
+            resume: Notify::new(),
+            unreachable: Cell::new(false),
             holders: RefCell::default(),
             calls: RefCell::default(),
             gateways: RefCell::default(),
         })
     }
 
-    /// A gateway whose process has this life.
-    fn gateway(self: &Rc<Core>, life: u64) -> FrontendFixture {
-        let world = FrontendFixture::new("");
-        let operations = OperationTable::new(Ipv4Addr::LOCALHOST, life, 60_000.0);
+    /// Starts a gateway process with this incarnation.
+    fn start_gateway(self: &Rc<FakeCore>, incarnation: u64) -> FrontendFixture {
+        let gateway = FrontendFixture::new("");
+        let operations = OperationTable::new(Ipv4Addr::LOCALHOST, incarnation, 60_000.0);
         let operations = Rc::new(RefCell::new(operations));
-        self.gateways.borrow_mut().insert(life, operations.clone());
-        world.frontend.set_keyed_operations(KeyedOperations::new(
-            world.wheel.clone(),
+        self.gateways.borrow_mut().insert(incarnation, operations.clone());
+        gateway.frontend.set_keyed_operations(KeyedOperations::new(
+            gateway.wheel.clone(),
             operations,
             self.clone(),
         ));
-        world
+        gateway
     }
 
-    fn take(&self, call: &ClaimCall) -> ClaimAnswer {
+    fn apply(&self, call: &ClaimCall) -> ClaimAnswer {
         let mut holders = self.holders.borrow_mut();
         match holders.get(&call.operation).copied() {
             Some(holder) if holder != call.claimant && call.released != Some(holder) => {
@@ -82,21 +83,21 @@
     }
 }
 
-impl ClaimClient for Core {
+impl ClaimClient for FakeCore {
     fn claim<'a>(&'a self, call: &'a ClaimCall, _until: f64) -> CallFuture<'a, ClaimAnswer> {
         Box::pin(async move {
             self.calls.borrow_mut().push(*call);
             match self.leader.get() {
-                Leader::Answers => Some(self.take(call)),
-                Leader::TakesSilently => {
-                    self.take(call);
+                Leader::Answers => Some(self.apply(call)),
+                Leader::AppliesWithoutAnswer => {
+                    self.apply(call);
                     None
                 }
                 Leader::Unreachable => None,
                 Leader::Full => Some(ClaimAnswer::Full),
-                Leader::Waits => {
-                    self.go_on.notified().await;
-                    Some(self.take(call))
+                Leader::WaitsForResume => {
+                    self.resume.notified().await;
+                    Some(self.apply(call))
                 }
             }
         })
@@ -111,100 +112,103 @@
     }
 
     fn is_core_unreachable(&self) -> bool {
-        self.cut_off.get()
+        self.unreachable.get()
     }
 }
 
-fn try_by(tenant_key: &str, path: &str, id: &str, key: &str) -> String {
+fn keyed_request_of(tenant_key: &str, path: &str, id: &str, key: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {id}\r\nX-Operation-Key: {key}\r\n\
          Authorization: Bearer {tenant_key}\r\nContent-Length: 4\r\n\r\nbook"
     )
 }
 
-fn try_of(id: &str, key: &str) -> String {
-    try_by("good", "/o/book", id, key)
+fn keyed_request(id: &str, key: &str) -> String {
+    keyed_request_of("good", "/o/book", id, key)
 }
 
-async fn begin(world: &FrontendFixture, text: &str) -> DuplexStream {
-    let mut client = world.client();
+async fn begin_request(gateway: &FrontendFixture, text: &str) -> DuplexStream {
+    let mut client = gateway.client();
     send(&mut client, text).await;
     settle().await;
     client
 }
 
-/// The status line, the rest of the head, and the body that a new client is told.
-async fn told(world: &FrontendFixture, text: &str) -> (u16, String, String) {
-    let mut client = begin(world, text).await;
-    answered(&mut client).await
+/// Sends a request on a new connection and returns the status, the head and the body of the answer.
+async fn request_answer(gateway: &FrontendFixture, text: &str) -> (u16, String, String) {
+    let mut client = begin_request(gateway, text).await;
+    read_answer(&mut client).await
 }
 
-async fn answered(client: &mut DuplexStream) -> (u16, String, String) {
+async fn read_answer(client: &mut DuplexStream) -> (u16, String, String) {
     let (head, body) = read_response(client).await;
     let status = head.split(' ').nth(1).expect("a status").parse().expect("a number");
     (status, head, body)
 }
 
 #[test]
-fn the_same_key_at_two_gateways_at_once_runs_once() {
+fn concurrent_requests_with_one_key_at_two_gateways_run_once() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        let mut first = begin(&a, &try_of("1", "k")).await;
-        for gateway in [&b, &a] {
-            let (status, head, _) = told(gateway, &try_of("2", "k")).await;
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        let mut first = begin_request(&first_gateway, &keyed_request("1", "k")).await;
+        for gateway in [&second_gateway, &first_gateway] {
+            let (status, head, _) = request_answer(gateway, &keyed_request("2", "k")).await;
             assert_eq!(status, 409);
             assert!(head.contains("Retry-After: 0.") && head.contains("X-Attempt-Id: 2\r\n"), "{head}");
         }
-        a.expect_dispatched(&["1"]).await;
-        b.expect_dispatched(&[]).await;
-        a.reply_ok("1");
-        assert_eq!(answered(&mut first).await.0, 200);
+        first_gateway.expect_dispatched(&["1"]).await;
+        second_gateway.expect_dispatched(&[]).await;
+        first_gateway.reply_ok("1");
+        assert_eq!(read_answer(&mut first).await.0, 200);
     });
 }
 
 #[test]
-fn a_repeat_waits_for_the_end_of_the_first_run_and_gets_its_answer_or_its_place() {
+fn repeat_waits_for_the_first_run_and_gets_its_answer_or_runs_after_a_refusal() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        for (key, ends) in [("k", true), ("m", false)] {
-            let mut first = begin(&a, &try_of("1", key)).await;
-            let mut repeats = [begin(&a, &try_of("2", key)).await, begin(&b, &try_of("3", key)).await];
-            a.wheel.sleep(250.0).await;
-            a.expect_dispatched(&["1"]).await;
-            b.expect_dispatched(&[]).await;
-            match ends {
-                true => a.reply_ok("1"),
-                false => a.reply("1", Answer::ShortOnCapacityReply(0.0)),
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        for (key, completes) in [("k", true), ("m", false)] {
+            let mut first = begin_request(&first_gateway, &keyed_request("1", key)).await;
+            let mut repeats = [
+                begin_request(&first_gateway, &keyed_request("2", key)).await,
+                begin_request(&second_gateway, &keyed_request("3", key)).await,
+            ];
+            first_gateway.wheel.sleep(250.0).await;
+            first_gateway.expect_dispatched(&["1"]).await;
+            second_gateway.expect_dispatched(&[]).await;
+            match completes {
+                true => first_gateway.reply_ok("1"),
+                false => first_gateway.reply("1", Answer::ShortOnCapacityReply(0.0)),
             }
-            assert_eq!(answered(&mut first).await.0, if ends { 200 } else { 503 });
-            if !ends {
-                // Nothing has run: one of them does.
-                a.wheel.sleep(250.0).await;
-                a.expect_dispatched(&["2"]).await;
-                b.expect_dispatched(&[]).await;
-                a.reply_ok("2");
+            assert_eq!(read_answer(&mut first).await.0, if completes { 200 } else { 503 });
+            if !completes {
+                // The first was refused before it ran, so exactly one of the repeats runs.
+                first_gateway.wheel.sleep(250.0).await;
+                first_gateway.expect_dispatched(&["2"]).await;
+                second_gateway.expect_dispatched(&[]).await;
+                first_gateway.reply_ok("2");
             }
             for repeat in &mut repeats {
-                let (status, _, body) = answered(repeat).await;
-                assert_eq!((status, &body[..]), (200, if ends { "body of 1" } else { "body of 2" }));
+                let (status, _, body) = read_answer(repeat).await;
+                assert_eq!((status, &body[..]), (200, if completes { "body of 1" } else { "body of 2" }));
             }
         }
     });
 }
 
 #[test]
-fn a_repeat_gets_the_first_runs_status_seal_and_body_at_any_gateway() {
+fn repeat_receives_the_first_runs_status_seal_and_body_at_any_gateway() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
         for (key, status) in [("k1", 200), ("k2", 404), ("k3", 500)] {
-            let mut first = begin(&a, &try_of("1", key)).await;
-            a.reply("1", Answer::Served(buffered_response(status, "1")));
-            assert_eq!(answered(&mut first).await.0, status);
-            for gateway in [&a, &b] {
-                let (repeated, head, body) = told(gateway, &try_of("2", key)).await;
+            let mut first = begin_request(&first_gateway, &keyed_request("1", key)).await;
+            first_gateway.reply("1", Answer::Served(buffered_response(status, "1")));
+            assert_eq!(read_answer(&mut first).await.0, status);
+            for gateway in [&first_gateway, &second_gateway] {
+                let (repeated, head, body) = request_answer(gateway, &keyed_request("2", key)).await;
                 assert_eq!((repeated, &body[..]), (status, "body of 1"));
                 assert!(
                     head.contains("X-Response-Seal: s.1\r\n") && head.contains("X-Attempt-Id: 2\r\n"),
@@ -218,232 +222,250 @@
 }
 
 #[test]
-fn an_operation_that_was_refused_before_it_ran_is_free_again() {
+fn operation_that_was_refused_before_it_ran_can_be_claimed_again() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        let mut first = begin(&a, &try_of("1", "k")).await;
-        a.reply("1", Answer::ShortOnCapacityReply(0.0));
-        assert_eq!(answered(&mut first).await.0, 503);
-        // Once elsewhere, once where it was.
-        let mut second = begin(&b, &try_of("2", "k")).await;
-        b.reply("2", Answer::ShortOnCapacityReply(0.0));
-        assert_eq!(answered(&mut second).await.0, 503);
-        let mut third = begin(&b, &try_of("3", "k")).await;
-        b.reply_ok("3");
-        assert_eq!(answered(&mut third).await.0, 200);
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        let mut first = begin_request(&first_gateway, &keyed_request("1", "k")).await;
+        first_gateway.reply("1", Answer::ShortOnCapacityReply(0.0));
+        assert_eq!(read_answer(&mut first).await.0, 503);
+        // It is claimed again first at another gateway than the one that released it, then at the same one.
+        let mut second = begin_request(&second_gateway, &keyed_request("2", "k")).await;
+        second_gateway.reply("2", Answer::ShortOnCapacityReply(0.0));
+        assert_eq!(read_answer(&mut second).await.0, 503);
+        let mut third = begin_request(&second_gateway, &keyed_request("3", "k")).await;
+        second_gateway.reply_ok("3");
+        assert_eq!(read_answer(&mut third).await.0, 200);
     });
 }
 
 #[test]
-fn a_key_is_one_tenants_and_one_requests() {
+fn key_belongs_to_one_tenant_and_one_request() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        let mut first = begin(&a, &try_of("1", "k")).await;
-        let mut other = begin(&a, &try_by("further", "/o/book", "2", "k")).await;
-        a.expect_dispatched(&["1", "2"]).await;
-        a.reply_ok("1");
-        a.reply_ok("2");
-        assert_eq!((answered(&mut first).await.0, answered(&mut other).await.0), (200, 200));
-        for gateway in [&a, &b] {
-            assert_eq!(told(gateway, &try_by("good", "/o/cancel", "3", "k")).await.0, 422);
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        let mut first = begin_request(&first_gateway, &keyed_request("1", "k")).await;
+        let mut other_tenant =
+            begin_request(&first_gateway, &keyed_request_of("further", "/o/book", "2", "k")).await;
+        first_gateway.expect_dispatched(&["1", "2"]).await;
+        first_gateway.reply_ok("1");
+        first_gateway.reply_ok("2");
+        assert_eq!((read_answer(&mut first).await.0, read_answer(&mut other_tenant).await.0), (200, 200));
+        for gateway in [&first_gateway, &second_gateway] {
+            assert_eq!(
+                request_answer(gateway, &keyed_request_of("good", "/o/cancel", "3", "k")).await.0,
+                422
+            );
             gateway.expect_dispatched(&[]).await;
         }
     });
 }
 
 #[test]
-fn an_operation_whose_gateway_is_gone_never_runs_again() {
+fn operation_whose_gateway_crashed_never_runs_again() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        let _first = begin(&a, &try_of("1", "k")).await;
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        let _first = begin_request(&first_gateway, &keyed_request("1", "k")).await;
         core.gateways.borrow_mut().remove(&1);
-        assert_eq!(told(&b, &try_of("2", "k")).await.0, 502);
-        // A new process in its place knows nothing of the claim.
-        let reborn = core.gateway(3);
+        assert_eq!(request_answer(&second_gateway, &keyed_request("2", "k")).await.0, 502);
+        // A new process in place of the first gateway has no record of the claim.
+        let restarted = core.start_gateway(3);
         let table = core.gateways.borrow()[&3].clone();
         core.gateways.borrow_mut().insert(1, table);
-        assert_eq!(told(&reborn, &try_of("3", "k")).await.0, 502);
-        b.expect_dispatched(&[]).await;
-        reborn.expect_dispatched(&[]).await;
+        assert_eq!(request_answer(&restarted, &keyed_request("3", "k")).await.0, 502);
+        second_gateway.expect_dispatched(&[]).await;
+        restarted.expect_dispatched(&[]).await;
     });
 }
 
 #[test]
-fn an_operation_whose_run_failed_or_broke_off_never_runs_again() {
+fn operation_whose_run_failed_or_was_dropped_never_runs_again() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        let mut first = begin(&a, &try_of("1", "k")).await;
-        a.reply("1", Answer::Failed);
-        assert_eq!(answered(&mut first).await.0, 502);
-        let mut dropped = begin(&a, &try_of("2", "m")).await;
-        drop(a.proxy.remove("2"));
-        assert_eq!(answered(&mut dropped).await.0, 502);
-        for (gateway, key) in [(&a, "k"), (&b, "k"), (&a, "m"), (&b, "m")] {
-            assert_eq!(told(gateway, &try_of("3", key)).await.0, 502);
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        let mut first = begin_request(&first_gateway, &keyed_request("1", "k")).await;
+        first_gateway.reply("1", Answer::Failed);
+        assert_eq!(read_answer(&mut first).await.0, 502);
+        let mut dropped_run = begin_request(&first_gateway, &keyed_request("2", "m")).await;
+        drop(first_gateway.proxy.remove("2"));
+        assert_eq!(read_answer(&mut dropped_run).await.0, 502);
+        for (gateway, key) in
+            [(&first_gateway, "k"), (&second_gateway, "k"), (&first_gateway, "m"), (&second_gateway, "m")]
+        {
+            assert_eq!(request_answer(gateway, &keyed_request("3", key)).await.0, 502);
             gateway.expect_dispatched(&[]).await;
         }
     });
 }
 
 #[test]
-fn a_client_that_leaves_ends_neither_the_run_nor_its_record() {
+fn client_disconnect_ends_neither_the_run_nor_its_record() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        drop(begin(&a, &try_of("1", "k")).await);
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        drop(begin_request(&first_gateway, &keyed_request("1", "k")).await);
         settle().await;
-        assert_eq!(told(&b, &try_of("2", "k")).await.0, 409);
-        a.reply_ok("1");
+        assert_eq!(request_answer(&second_gateway, &keyed_request("2", "k")).await.0, 409);
+        first_gateway.reply_ok("1");
         settle().await;
-        for gateway in [&b, &a] {
-            assert_eq!(told(gateway, &try_of("3", "k")).await.2, "body of 1");
+        for gateway in [&second_gateway, &first_gateway] {
+            assert_eq!(request_answer(gateway, &keyed_request("3", "k")).await.2, "body of 1");
         }
-        // One that leaves before its claim is granted has nothing run for it.
-        core.leader.set(Leader::Waits);
-        drop(begin(&a, &try_of("4", "m")).await);
+        // If the client disconnects before the claim is granted, the operation does not run.
+        core.leader.set(Leader::WaitsForResume);
+        drop(begin_request(&first_gateway, &keyed_request("4", "m")).await);
         settle().await;
-        core.go_on.notify_one();
-        a.expect_dispatched(&[]).await;
+        core.resume.notify_one();
+        first_gateway.expect_dispatched(&[]).await;
         core.leader.set(Leader::Answers);
-        let _second = begin(&b, &try_of("5", "m")).await;
-        b.expect_dispatched(&["5"]).await;
+        let _second = begin_request(&second_gateway, &keyed_request("5", "m")).await;
+        second_gateway.expect_dispatched(&["5"]).await;
     });
 }
 
 #[test]
-fn an_answer_longer_than_what_is_kept_leaves_its_operation_in_doubt() {
+fn answer_too_long_to_store_leaves_its_operation_in_doubt() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        let mut first = begin(&a, &try_of("1", "k")).await;
-        let (to, served) = streamed_response(Some(4));
-        a.reply("1", Answer::Served(served));
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        let mut first = begin_request(&first_gateway, &keyed_request("1", "k")).await;
+        let (part_sender, served) = streamed_response(Some(4));
+        first_gateway.reply("1", Answer::Served(served));
         for part in [BodyPart::Data("long".into()), BodyPart::End] {
-            to.send(part).await.expect("taken");
+            part_sender.send(part).await.expect("receiver is open");
         }
-        assert_eq!(answered(&mut first).await.2, "long");
-        for gateway in [&a, &b] {
-            assert_eq!(told(gateway, &try_of("2", "k")).await.0, 502);
+        assert_eq!(read_answer(&mut first).await.2, "long");
+        for gateway in [&first_gateway, &second_gateway] {
+            assert_eq!(request_answer(gateway, &keyed_request("2", "k")).await.0, 502);
             gateway.expect_dispatched(&[]).await;
         }
     });
 }
 
 #[test]
-fn a_claim_that_was_not_answered_is_released_even_if_the_leader_took_it() {
+fn unanswered_claim_is_released_even_if_the_leader_applied_it() {
     run_test(async {
-        for leader in [Leader::Unreachable, Leader::TakesSilently] {
-            let core = Core::new();
-            let (a, b) = (core.gateway(1), core.gateway(2));
+        for leader in [Leader::Unreachable, Leader::AppliesWithoutAnswer] {
+            let core = FakeCore::new();
+            let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
             core.leader.set(leader);
-            let (status, head, _) = told(&a, &try_of("1", "k")).await;
+            let (status, head, _) = request_answer(&first_gateway, &keyed_request("1", "k")).await;
             assert_eq!(status, 503);
             assert!(head.contains("Retry-After"), "{head}");
             core.leader.set(Leader::Answers);
-            let _second = begin(&b, &try_of("2", "k")).await;
-            a.expect_dispatched(&[]).await;
-            b.expect_dispatched(&["2"]).await;
-            // The gateway that gave it up finds the other's claim.
-            assert_eq!(told(&a, &try_of("3", "k")).await.0, 409);
-            a.expect_dispatched(&[]).await;
+            let _second = begin_request(&second_gateway, &keyed_request("2", "k")).await;
+            first_gateway.expect_dispatched(&[]).await;
+            second_gateway.expect_dispatched(&["2"]).await;
+            // The gateway that released the claim now finds the claim of the other one.
+            assert_eq!(request_answer(&first_gateway, &keyed_request("3", "k")).await.0, 409);
+            first_gateway.expect_dispatched(&[]).await;
         }
     });
 }
 
 #[test]
-fn a_released_claim_is_taken_over_by_one_gateway_alone() {
+fn released_claim_is_taken_over_by_only_one_gateway() {
     run_test(async {
-        let core = Core::new();
-        let gateways = [core.gateway(1), core.gateway(2), core.gateway(3)];
-        core.leader.set(Leader::TakesSilently);
-        assert_eq!(told(&gateways[0], &try_of("1", "k")).await.0, 503);
+        let core = FakeCore::new();
+        let gateways = [core.start_gateway(1), core.start_gateway(2), core.start_gateway(3)];
+        core.leader.set(Leader::AppliesWithoutAnswer);
+        assert_eq!(request_answer(&gateways[0], &keyed_request("1", "k")).await.0, 503);
         core.leader.set(Leader::Answers);
-        let mut begun = Vec::new();
+        let mut clients = Vec::new();
         for gateway in &gateways {
-            begun.push(begin(gateway, &try_of("2", "k")).await);
+            clients.push(begin_request(gateway, &keyed_request("2", "k")).await);
         }
-        let sent: usize = gateways.iter().map(|gateway| gateway.proxy.attempt_ids().len()).sum();
-        assert_eq!(sent, 1);
+        let dispatched: usize = gateways.iter().map(|gateway| gateway.proxy.attempt_ids().len()).sum();
+        assert_eq!(dispatched, 1);
         let numbers: Vec<_> = core
             .calls
             .borrow()
             .iter()
             .map(|call| (call.claimant.incarnation, call.claimant.number))
             .collect();
-        let mut once = numbers.clone();
-        once.dedup();
-        assert_eq!(once, numbers, "a number is claimed once");
+        let mut unique = numbers.clone();
+        unique.dedup();
+        assert_eq!(unique, numbers, "a claim number is used only once");
     });
 }
 
 #[test]
-fn nothing_is_claimed_without_a_key_or_a_way_to_the_core() {
+fn no_claim_without_a_key_or_a_reachable_core() {
     run_test(async {
-        let core = Core::new();
-        let a = core.gateway(1);
-        let mut plain = begin(&a, &authorized_request("POST", "/o/book", "1")).await;
-        a.reply_ok("1");
-        assert_eq!(answered(&mut plain).await.0, 200);
-        core.cut_off.set(true);
-        assert_eq!(told(&a, &try_of("2", "k")).await.0, 503);
-        assert!(a.admission.admit_calls.borrow().len() == 1, "it costs no unit");
-        core.cut_off.set(false);
+        let core = FakeCore::new();
+        let gateway = core.start_gateway(1);
+        let mut without_key = begin_request(&gateway, &authorized_request("POST", "/o/book", "1")).await;
+        gateway.reply_ok("1");
+        assert_eq!(read_answer(&mut without_key).await.0, 200);
+        core.unreachable.set(true);
+        assert_eq!(request_answer(&gateway, &keyed_request("2", "k")).await.0, 503);
+        assert!(
+            gateway.admission.admit_calls.borrow().len() == 1,
+            "the request without a claim takes no unit"
+        );
+        core.unreachable.set(false);
         assert!(core.calls.borrow().is_empty());
         core.leader.set(Leader::Full);
-        assert_eq!(told(&a, &try_of("3", "k")).await.0, 503);
-        a.expect_dispatched(&[]).await;
+        assert_eq!(request_answer(&gateway, &keyed_request("3", "k")).await.0, 503);
+        gateway.expect_dispatched(&[]).await;
     });
 }
 
 #[test]
-fn a_claim_that_is_granted_too_late_is_released() {
+fn claim_that_is_granted_too_late_is_released() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        core.leader.set(Leader::Waits);
-        let mut stale = begin(&a, &try_of("1", "k1")).await;
-        a.admission.stale_retry_after_ms.set(Some(100.0));
-        core.go_on.notify_one();
-        assert_eq!(answered(&mut stale).await.0, 503);
-        a.admission.stale_retry_after_ms.set(None);
-        let mut leaving = begin(&a, &try_of("2", "k2")).await;
-        a.lifecycle.begin_shutdown(Shutdown::begin(a.wheel.now(), 0.0, 0.0));
-        core.go_on.notify_one();
-        assert_eq!(answered(&mut leaving).await.0, 503);
-        a.expect_dispatched(&[]).await;
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        core.leader.set(Leader::WaitsForResume);
+        let mut stale = begin_request(&first_gateway, &keyed_request("1", "k1")).await;
+        first_gateway.admission.stale_retry_after_ms.set(Some(100.0));
+        core.resume.notify_one();
+        assert_eq!(read_answer(&mut stale).await.0, 503);
+        first_gateway.admission.stale_retry_after_ms.set(None);
+        let mut during_shutdown = begin_request(&first_gateway, &keyed_request("2", "k2")).await;
+        first_gateway.lifecycle.begin_shutdown(Shutdown::begin(first_gateway.wheel.now(), 0.0, 0.0));
+        core.resume.notify_one();
+        assert_eq!(read_answer(&mut during_shutdown).await.0, 503);
+        first_gateway.expect_dispatched(&[]).await;
         core.leader.set(Leader::Answers);
-        let _both = [begin(&b, &try_of("3", "k1")).await, begin(&b, &try_of("4", "k2")).await];
-        b.expect_dispatched(&["3", "4"]).await;
+        let _repeats = [
+            begin_request(&second_gateway, &keyed_request("3", "k1")).await,
+            begin_request(&second_gateway, &keyed_request("4", "k2")).await,
+        ];
+        second_gateway.expect_dispatched(&["3", "4"]).await;
     });
 }
 
 #[test]
-fn a_unit_that_ran_out_while_its_claim_was_under_way_is_replaced_before_a_server_is_asked() {
+fn unit_that_expires_during_the_claim_is_replaced_before_the_dispatch() {
     run_test(async {
-        let core = Core::new();
-        let (a, b) = (core.gateway(1), core.gateway(2));
-        core.leader.set(Leader::Waits);
-        a.admission.decision.set(AdmissionDecision::Admitted(a.wheel.now() + UNIT_MS));
-        let _client = begin(&a, &try_of("1", "k1")).await;
-        a.wheel.sleep(UNIT_MS + 20.0).await;
-        let until = a.wheel.now() + 60_000.0;
-        a.admission.decision.set(AdmissionDecision::Admitted(until));
-        core.go_on.notify_one();
-        a.expect_dispatched(&["1"]).await;
-        assert_eq!(a.proxy.remove("1").unit_valid_until, until);
+        let core = FakeCore::new();
+        let (first_gateway, second_gateway) = (core.start_gateway(1), core.start_gateway(2));
+        core.leader.set(Leader::WaitsForResume);
+        first_gateway
+            .admission
+            .decision
+            .set(AdmissionDecision::Admitted(first_gateway.wheel.now() + UNIT_VALIDITY_MS));
+        let _client = begin_request(&first_gateway, &keyed_request("1", "k1")).await;
+        first_gateway.wheel.sleep(UNIT_VALIDITY_MS + 20.0).await;
+        let until = first_gateway.wheel.now() + 60_000.0;
+        first_gateway.admission.decision.set(AdmissionDecision::Admitted(until));
+        core.resume.notify_one();
+        first_gateway.expect_dispatched(&["1"]).await;
+        assert_eq!(first_gateway.proxy.remove("1").unit_valid_until, until);
 
-        a.admission.decision.set(AdmissionDecision::Admitted(a.wheel.now() + UNIT_MS));
-        let mut beyond = begin(&a, &try_of("2", "k2")).await;
-        a.wheel.sleep(UNIT_MS + 20.0).await;
-        a.admission.decision.set(AdmissionDecision::OverQuota(100.0));
-        core.go_on.notify_one();
-        assert_eq!(answered(&mut beyond).await.0, 429);
+        first_gateway
+            .admission
+            .decision
+            .set(AdmissionDecision::Admitted(first_gateway.wheel.now() + UNIT_VALIDITY_MS));
+        let mut over_quota = begin_request(&first_gateway, &keyed_request("2", "k2")).await;
+        first_gateway.wheel.sleep(UNIT_VALIDITY_MS + 20.0).await;
+        first_gateway.admission.decision.set(AdmissionDecision::OverQuota(100.0));
+        core.resume.notify_one();
+        assert_eq!(read_answer(&mut over_quota).await.0, 429);
         core.leader.set(Leader::Answers);
-        let _free_again = begin(&b, &try_of("3", "k2")).await;
-        b.expect_dispatched(&["3"]).await;
+        let _repeat = begin_request(&second_gateway, &keyed_request("3", "k2")).await;
+        second_gateway.expect_dispatched(&["3"]).await;
     });
 }
