--- a/crates/edge/tests/units.rs
+++ b/crates/edge/tests/units.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a unit, against a leader with a true counter whose answers take their time; in virtual time.
+//! Tests of requests that wait for a quota unit, in virtual time. The leader has a real counter and delays its answers.
 
 mod core_client_fixture;
 
@@ -13,90 +13,94 @@
 use std::rc::Rc;
 use tokio::task::{spawn_local, LocalSet};
 
-/// With so many a gateway leaves 150 ms between its calls.
+/// With this number of gateways, a gateway leaves 150 ms between its calls for units.
 const GATEWAYS: u32 = 300;
 
-/// Tells of one tenant with a limit and of the number of gateways.
-struct Watch {
+/// Serves a configuration with one limited tenant, and the number of gateways.
+struct WatchServer {
     wheel: Wheel,
-    asked: Cell<bool>,
+    answered_before: Cell<bool>,
 }
 
-impl Resource for Watch {
+impl Resource for WatchServer {
     fn handle<'a>(&'a self, _: Call) -> Answering<'a> {
-        // What is told once is held from then on.
-        let held_ms = if self.asked.replace(true) { 1_000.0 } else { 0.0 };
-        let doc = serde_json::json!({"config_version": 1, "limits": {}, "backends": {}, "routes": {},
+        // The configuration does not change, so the first call is answered at once and later ones are held.
+        let hold_ms = if self.answered_before.replace(true) { 1_000.0 } else { 0.0 };
+        let document = serde_json::json!({"config_version": 1, "limits": {}, "backends": {}, "routes": {},
             "tenants": {"t": {"api_keys": ["k"], "rate_per_s": 10, "burst_size": 0}}});
-        let config = Some(Rc::new(VersionedConfig { version: 1, document: doc }));
+        let config = Some(Rc::new(VersionedConfig { version: 1, document }));
         let answer =
             WatchAnswer { term: 1, seq: 1, config, gateway_count: Some(GATEWAYS), ..WatchAnswer::default() };
         Box::pin(async move {
-            self.wheel.sleep(held_ms).await;
+            self.wheel.sleep(hold_ms).await;
             Response::json(200, serde_json::to_string(&answer).expect("text"))
         })
     }
 }
 
-/// The counter, so many ms away.
-struct Far {
+/// Answers calls for units from the counter after a delay.
+struct UnitsServer {
     wheel: Wheel,
     counter: RefCell<Counter>,
-    way_ms: Cell<f64>,
+    delay_ms: Cell<f64>,
 }
 
-impl Resource for Far {
+impl Resource for UnitsServer {
     fn handle<'a>(&'a self, call: Call) -> Answering<'a> {
         Box::pin(async move {
             let call: UnitsCall = serde_json::from_slice(&call.body).expect("a call");
             let answer = {
                 let (now, mut counter) = (self.wheel.now() as u64, self.counter.borrow_mut());
-                if let Some(roll) = counter.enrollment_for(now, &call) {
-                    counter.set_logged_processes(&roll.added);
+                if let Some(enrollment) = counter.enrollment_for(now, &call) {
+                    counter.set_logged_processes(&enrollment.added);
                     counter.enrollment_committed(call.incarnation);
                 }
                 counter.handle_call(now, &call, GATEWAYS as usize)
             };
-            self.wheel.sleep(self.way_ms.get()).await;
+            self.wheel.sleep(self.delay_ms.get()).await;
             Response::json(200, serde_json::to_string(&answer).expect("text"))
         })
     }
 }
 
-/// What the second of two requests is told, of which the first one's call goes out at once and its own 150 ms later; and how
-/// long it waited, ms.
-async fn second(way_ms: f64) -> (AdmissionDecision, f64) {
+/// Admits two requests: the gateway calls for units at once for the first and 150 ms later for the second. Returns the
+/// decision for the second request and how long it waited, in ms.
+async fn admit_second(delay_ms: f64) -> (AdmissionDecision, f64) {
     let wheel = start_wheel();
     let mut counter = Counter::new(wheel.now() as u64, 1, Tuning::new(5_000), BTreeMap::new());
     counter.set_limits(wheel.now() as u64, &BTreeMap::from([("t".into(), Limit { cap: 50, pace: 50 })]));
-    let watch = Rc::new(Watch { wheel: wheel.clone(), asked: Cell::new(false) });
-    let far = Rc::new(Far { wheel: wheel.clone(), counter: RefCell::new(counter), way_ms: Cell::new(1.0) });
-    let port = start_server(&wheel, &[(path::WATCH, watch), (path::UNITS, far.clone())]).await;
-    let link = core_client(&wheel, port);
-    spawn_local(link.clone().run_watch());
-    spawn_local(link.clone().run_quota_sync());
+    let watch = Rc::new(WatchServer { wheel: wheel.clone(), answered_before: Cell::new(false) });
+    let units = Rc::new(UnitsServer {
+        wheel: wheel.clone(),
+        counter: RefCell::new(counter),
+        delay_ms: Cell::new(1.0),
+    });
+    let port = start_server(&wheel, &[(path::WATCH, watch), (path::UNITS, units.clone())]).await;
+    let client = core_client(&wheel, port);
+    spawn_local(client.clone().run_watch());
+    spawn_local(client.clone().run_quota_sync());
     wheel.sleep(1_000.0).await;
-    far.way_ms.set(way_ms);
-    let first = link.clone();
-    spawn_local(async move { first.admit("t").await });
+    units.delay_ms.set(delay_ms);
+    let first_client = client.clone();
+    spawn_local(async move { first_client.admit("t").await });
     wheel.sleep(4.0).await;
-    let asked = wheel.now();
-    (link.admit("t").await, wheel.now() - asked)
+    let started = wheel.now();
+    (client.admit("t").await, wheel.now() - started)
 }
 
 #[test]
-fn a_request_whose_call_is_under_way_at_its_time_out_waits_for_the_answer() {
+fn request_with_a_pending_units_call_at_its_timeout_waits_for_the_answer() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let (admitted, waited) = second(100.0).await;
+        let (decision, waited_ms) = admit_second(100.0).await;
         assert!(
-            matches!(admitted, AdmissionDecision::Admitted(_)) && waited > 220.0,
-            "{admitted:?} after {waited}"
+            matches!(decision, AdmissionDecision::Admitted(_)) && waited_ms > 220.0,
+            "{decision:?} after {waited_ms} ms"
         );
-        let (admitted, waited) = second(200.0).await;
+        let (decision, waited_ms) = admit_second(200.0).await;
         assert!(
-            matches!(admitted, AdmissionDecision::OverQuota(_)) && waited < 290.0,
-            "{admitted:?} after {waited}"
+            matches!(decision, AdmissionDecision::OverQuota(_)) && waited_ms < 290.0,
+            "{decision:?} after {waited_ms} ms"
         );
     });
 }
