--- a/crates/edge/tests/once_model.rs
+++ b/crates/edge/tests/keyed_operation_interleavings.rs
@@ -2,9 +2,9 @@
 //!
 //! The instances are cut short so that all of this takes some seconds; `ONCE_MODEL=whole` has all troubles in one history.
 
-mod once_world;
+mod keyed_operation_model;
 
-use once_world::{search, Bounds, Fault, Visited};
+use keyed_operation_model::{search, Bounds, Fault, Visited};
 
 const UNDISTURBED: Bounds = Bounds {
     fault: Fault::None,
--- a/crates/edge/tests/once_world/mod.rs
+++ b/crates/edge/tests/keyed_operation_model/mod.rs
@@ -1,13 +1,13 @@
 //! All interleavings of a small world of keyed operations, breadth first.
 
 mod core;
-mod world;
+mod state;
 
 use siphasher::sip128::{Hasher128, SipHasher13};
+use state::{Act, World};
 use std::collections::{HashSet, VecDeque};
 use std::fmt::{self, Write};
 use std::hash::Hasher;
-use world::{Act, World};
 
 /// What is broken on purpose in the rig.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
