--- a/crates/edge/tests/keyed_operation_interleavings.rs
+++ b/crates/edge/tests/keyed_operation_interleavings.rs
@@ -1,6 +1,7 @@
-//! An operation runs once, through all interleavings of two gateways, the core's log and three servers.
+//! Checks that a keyed operation runs at most once within its window, in all interleavings of two gateways, the core's
+//! log and three servers.
 //!
-//! The instances are cut short so that all of this takes some seconds; `ONCE_MODEL=whole` has all troubles in one history.
+//! The search is bounded so that it takes some seconds. `ONCE_MODEL=whole` allows all kinds of failures in one history.
 
 mod keyed_operation_model;
 
@@ -8,85 +9,86 @@
 
 const UNDISTURBED: Bounds = Bounds {
     fault: Fault::None,
-    tries: 2,
+    requests: 2,
     timeouts: 0,
-    repeats: 0,
-    changes: 0,
+    duplicates: 0,
+    leader_changes: 0,
     crashes: 0,
-    broken: 0,
+    runs_in_doubt: 0,
     refusals: 0,
-    passes: 0,
+    time_steps: 0,
 };
-/// Claims that are lost, late or repeated, over two leaders.
-const LEADERS: Bounds = Bounds { timeouts: 1, repeats: 1, changes: 2, ..UNDISTURBED };
-/// Gateways that are lost with what they know, and servers' answers that are lost.
-const CRASHES: Bounds = Bounds { timeouts: 2, crashes: 2, broken: 1, ..UNDISTURBED };
-/// Servers that refuse, and runs in doubt after that.
-const REFUSALS: Bounds = Bounds { timeouts: 1, refusals: 3, broken: 1, ..UNDISTURBED };
-/// Claims of three tries, of which one takes over what another one released.
-const TAKEOVERS: Bounds = Bounds { tries: 3, timeouts: 1, refusals: 1, ..UNDISTURBED };
-/// Until the last record is forgotten, which is after five windows' thirds and some more.
-const WINDOW: Bounds = Bounds { changes: 1, crashes: 1, passes: 6, ..UNDISTURBED };
-/// All troubles in one history.
-const ALL: Bounds = Bounds { repeats: 1, timeouts: 1, broken: 1, refusals: 1, ..WINDOW };
+/// Claims that are lost, late or duplicated, over two changes of the leader.
+const LEADER_CHANGES: Bounds = Bounds { timeouts: 1, duplicates: 1, leader_changes: 2, ..UNDISTURBED };
+/// Gateways that crash and lose their operation tables, and lost answers of servers.
+const CRASHES: Bounds = Bounds { timeouts: 2, crashes: 2, runs_in_doubt: 1, ..UNDISTURBED };
+/// Servers that refuse a request, and runs in doubt after a refusal.
+const REFUSALS: Bounds = Bounds { timeouts: 1, refusals: 3, runs_in_doubt: 1, ..UNDISTURBED };
+/// Claims for three requests, one of which takes over the released claim of another.
+const TAKEOVERS: Bounds = Bounds { requests: 3, timeouts: 1, refusals: 1, ..UNDISTURBED };
+/// Time steps until the last record is removed, which takes more than five thirds of a window.
+const WINDOW: Bounds = Bounds { leader_changes: 1, crashes: 1, time_steps: 6, ..UNDISTURBED };
+/// All kinds of failures in one history.
+const ALL: Bounds = Bounds { duplicates: 1, timeouts: 1, runs_in_doubt: 1, refusals: 1, ..WINDOW };
 
-fn sound(name: &str, bounds: Bounds) -> Visited {
-    let begun = std::time::Instant::now();
-    let visited = search(bounds).unwrap_or_else(|broken| panic!("{name}: {broken}"));
-    println!("{name}: {visited:?} in {:.1} s", begun.elapsed().as_secs_f64());
+/// Searches all states within the bounds and panics if a rule is broken.
+fn check_all_states(name: &str, bounds: Bounds) -> Visited {
+    let start = std::time::Instant::now();
+    let visited = search(bounds).unwrap_or_else(|violation| panic!("{name}: {violation}"));
+    println!("{name}: {visited:?} in {:.1} s", start.elapsed().as_secs_f64());
     visited
 }
 
 #[test]
-fn undisturbed_one_try_runs_and_all_are_answered_or_told_to_come_again() {
-    let visited = sound("undisturbed", UNDISTURBED);
+fn without_failures_one_request_runs_and_all_get_its_answer_or_a_conflict() {
+    let visited = check_all_states("undisturbed", UNDISTURBED);
     assert_eq!((visited.runs, visited.answered), (1, 2));
-    let visited = sound("undisturbed, three tries", Bounds { tries: 3, ..UNDISTURBED });
+    let visited = check_all_states("undisturbed, three requests", Bounds { requests: 3, ..UNDISTURBED });
     assert_eq!((visited.runs, visited.answered), (1, 3));
 }
 
 #[test]
-fn an_operation_runs_once_over_changes_of_leaders() {
-    sound("leaders", LEADERS);
+fn operation_runs_once_across_leader_changes() {
+    check_all_states("leader changes", LEADER_CHANGES);
 }
 
 #[test]
-fn an_operation_runs_once_over_losses_of_gateways_and_answers() {
-    sound("crashes", CRASHES);
+fn operation_runs_once_despite_gateway_crashes_and_lost_answers() {
+    check_all_states("crashes", CRASHES);
 }
 
 #[test]
-fn an_operation_that_was_refused_may_run_once() {
-    sound("refusals", REFUSALS);
-    sound("takeovers", TAKEOVERS);
+fn operation_that_was_refused_runs_at_most_once() {
+    check_all_states("refusals", REFUSALS);
+    check_all_states("takeovers", TAKEOVERS);
 }
 
 #[test]
-fn an_operation_runs_anew_after_its_window_alone() {
-    let visited = sound("window", WINDOW);
-    assert_eq!(visited.runs, 2, "nothing was ever forgotten");
+fn operation_runs_again_only_after_its_window() {
+    let visited = check_all_states("window", WINDOW);
+    assert_eq!(visited.runs, 2, "no record was removed after its window");
 }
 
 #[test]
-fn an_operation_runs_once_through_all_troubles_at_once() {
-    let is_whole = std::env::var("ONCE_MODEL").is_ok_and(|which| which == "whole");
-    let bounds = if is_whole { ALL } else { Bounds { repeats: 0, passes: 1, ..ALL } };
-    sound("all", bounds);
+fn operation_runs_once_with_all_kinds_of_failures() {
+    let is_unreduced = std::env::var("ONCE_MODEL").is_ok_and(|value| value == "whole");
+    let bounds = if is_unreduced { ALL } else { Bounds { duplicates: 0, time_steps: 1, ..ALL } };
+    check_all_states("all", bounds);
 }
 
 #[test]
-fn each_fault_of_the_rig_is_found() {
+fn search_detects_each_injected_fault() {
     let faults = [
-        (Fault::AnsweredBeforeCommit, LEADERS, "IN DOUBT"),
-        (Fault::ClockKept, WINDOW, "IN DOUBT"),
-        (Fault::SilentIsReleased, REFUSALS, "IN DOUBT"),
-        (Fault::LifeReused, CRASHES, "IN DOUBT"),
-        (Fault::BlindTakeover, TAKEOVERS, "IN DOUBT"),
-        (Fault::AnswerAltered, UNDISTURBED, "MIXED"),
+        (Fault::AnswerBeforeCommit, LEADER_CHANGES, "IN DOUBT"),
+        (Fault::ClockKeptByNewLeader, WINDOW, "IN DOUBT"),
+        (Fault::SilentHolderAssumedReleased, REFUSALS, "IN DOUBT"),
+        (Fault::IncarnationReused, CRASHES, "IN DOUBT"),
+        (Fault::UncheckedTakeover, TAKEOVERS, "IN DOUBT"),
+        (Fault::AlteredAnswer, UNDISTURBED, "WRONG ANSWER"),
     ];
     for (fault, bounds, rule) in faults {
-        let broken = search(Bounds { fault, ..bounds }).expect_err("a fault that nothing shows");
-        println!("{fault:?}: {broken}");
-        assert!(broken.starts_with(rule), "{fault:?}: {broken}");
+        let violation = search(Bounds { fault, ..bounds }).expect_err("the fault was not detected");
+        println!("{fault:?}: {violation}");
+        assert!(violation.starts_with(rule), "{fault:?}: {violation}");
     }
 }
--- a/crates/edge/tests/keyed_operation_model/mod.rs
+++ b/crates/edge/tests/keyed_operation_model/mod.rs
@@ -1,59 +1,58 @@
-//! All interleavings of a small world of keyed operations, breadth first.
+//! Breadth-first search through all interleavings of a small system with one keyed operation.
 
 mod core;
 mod state;
 
 use siphasher::sip128::{Hasher128, SipHasher13};
-use state::{Act, World};
+use state::{Action, SystemState};
 use std::collections::{HashSet, VecDeque};
 use std::fmt::{self, Write};
 use std::hash::Hasher;
 
-/// What is broken on purpose in the rig.
+/// A fault that is injected into the model, to test that the search detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Claims are answered once they are proposed.
-    AnsweredBeforeCommit,
-    /// A leader goes on with the ages that the one before measured by its own clock.
-    ClockKept,
-    /// A holder that doesn't answer is taken to have released its claim.
-    SilentIsReleased,
-    /// A gateway's next process has the life of the one before, and numbers its claims anew.
-    LifeReused,
-    /// A claim takes over whoever holds the operation.
-    BlindTakeover,
-    /// A holder's answer isn't the one that it kept.
-    AnswerAltered,
+    /// The leader answers a claim when it proposes the entry, before the entry is committed.
+    AnswerBeforeCommit,
+    /// A new leader continues with the ages that its predecessor measured by its own clock.
+    ClockKeptByNewLeader,
+    /// A holder that does not answer a recall is assumed to have released its claim.
+    SilentHolderAssumedReleased,
+    /// A restarted gateway has the same incarnation as before, and numbers its claims from the start again.
+    IncarnationReused,
+    /// A claim takes over the operation from any holder, not only from the one that released it.
+    UncheckedTakeover,
+    /// A recall delivers another answer than the holder stored.
+    AlteredAnswer,
 }
 
-/// How often each may happen.
+/// How often each kind of event may happen in one history.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     pub fault: Fault,
-    pub tries: u8,
-    /// Calls that nobody awaits any more; their messages are lost, or late.
+    pub requests: u8,
+    /// Calls whose caller stops waiting; their messages are lost or late.
     pub timeouts: u8,
-    /// Claims that reach the leader once more.
-    pub repeats: u8,
-    /// Leaders that follow one another.
-    pub changes: u8,
+    /// Claims that reach the leader a second time.
+    pub duplicates: u8,
+    pub leader_changes: u8,
     pub crashes: u8,
-    /// Runs that end in doubt.
-    pub broken: u8,
-    /// Servers, or the gateway after the grant, that vouch that nothing ran.
+    /// Requests to servers whose outcome remains unknown.
+    pub runs_in_doubt: u8,
+    /// Refusals by a server, or by the gateway after the grant, which state that the operation did not run.
     pub refusals: u8,
-    /// Thirds of a window that go by.
-    pub passes: u8,
+    /// Steps of time, each a third of a window.
+    pub time_steps: u8,
 }
 
-/// What a search has seen.
+/// Statistics of a search.
 #[derive(Debug, Default)]
 pub struct Visited {
     pub states: usize,
-    /// Most runs in one history, each after the window of the one before.
+    /// Highest number of runs in one history; each run is after the window of the one before.
     pub runs: usize,
-    /// Most clients in one history that were told the answer.
+    /// Highest number of clients in one history that received the answer.
     pub answered: usize,
 }
 
@@ -66,40 +65,42 @@
     }
 }
 
-fn digest(world: &World) -> u128 {
+fn digest(state: &SystemState) -> u128 {
     let mut digest = Digest(SipHasher13::new());
-    write!(digest, "{world:?}").expect("a digest takes all");
+    write!(digest, "{state:?}").expect("writing to a digest cannot fail");
     digest.0.finish128().as_u128()
 }
 
-/// Looks at every state within the bounds.
+/// Visits every state within the bounds.
 ///
 /// # Errors
 /// The shortest history that breaks a rule.
 pub fn search(bounds: Bounds) -> Result<Visited, String> {
-    let first = World::new(bounds);
+    let initial = SystemState::new(bounds);
     let is_undisturbed =
-        [bounds.timeouts, bounds.changes, bounds.crashes, bounds.broken, bounds.refusals] == [0; 5];
-    let (mut seen, mut visited) = (HashSet::from([digest(&first)]), Visited::default());
-    let mut steps: Vec<(usize, Option<Act>)> = vec![(0, None)];
-    let mut next = VecDeque::from([(first, 0)]);
-    while let Some((world, at)) = next.pop_front() {
+        [bounds.timeouts, bounds.leader_changes, bounds.crashes, bounds.runs_in_doubt, bounds.refusals]
+            == [0; 5];
+    let (mut digests, mut visited) = (HashSet::from([digest(&initial)]), Visited::default());
+    // Each step holds the index of the step before it and its action; the initial state has none.
+    let mut steps: Vec<(usize, Option<Action>)> = vec![(0, None)];
+    let mut queue = VecDeque::from([(initial, 0)]);
+    while let Some((state, step)) = queue.pop_front() {
         visited.states += 1;
-        let (runs, answered) = world.seen();
+        let (runs, answered) = state.counts();
         (visited.runs, visited.answered) = (visited.runs.max(runs), visited.answered.max(answered));
-        let acts = world.acts();
-        if acts.is_empty() && is_undisturbed {
-            world.check_served().map_err(|broken| history(&steps, at, &broken))?;
+        let actions = state.enabled_actions();
+        if actions.is_empty() && is_undisturbed {
+            state.check_all_answered().map_err(|violation| history(&steps, step, &violation))?;
         }
-        for act in acts {
-            let mut world = world.clone();
-            let broken = world.take(act).err();
-            steps.push((at, Some(act)));
-            if let Some(broken) = broken {
-                return Err(history(&steps, steps.len() - 1, &broken));
+        for action in actions {
+            let mut state = state.clone();
+            let violation = state.apply(action).err();
+            steps.push((step, Some(action)));
+            if let Some(violation) = violation {
+                return Err(history(&steps, steps.len() - 1, &violation));
             }
-            if seen.insert(digest(&world)) {
-                next.push_back((world, steps.len() - 1));
+            if digests.insert(digest(&state)) {
+                queue.push_back((state, steps.len() - 1));
             } else {
                 steps.pop();
             }
@@ -108,12 +109,13 @@
     Ok(visited)
 }
 
-fn history(steps: &[(usize, Option<Act>)], mut at: usize, broken: &str) -> String {
-    let mut acts = Vec::new();
-    while let (before, Some(act)) = steps[at] {
-        acts.push(format!("{act:?}"));
-        at = before;
+/// The violation and the actions that lead to this step.
+fn history(steps: &[(usize, Option<Action>)], mut step: usize, violation: &str) -> String {
+    let mut actions = Vec::new();
+    while let (previous, Some(action)) = steps[step] {
+        actions.push(format!("{action:?}"));
+        step = previous;
     }
-    acts.reverse();
-    format!("{broken}, after {}", acts.join(", "))
+    actions.reverse();
+    format!("{violation}, after {}", actions.join(", "))
 }
