--- a/crates/edge/tests/exchange.rs
+++ b/crates/edge/tests/exchange.rs
@@ -76,7 +76,8 @@
     format!("id-{number}")
 }
 
-/// A body that contains valid answers to the next two calls, in case the gateway parses body bytes as an answer.
+/// A body that contains forged answers to the next two calls. They would be delivered if body bytes were parsed as an
+/// answer.
 fn forging_body(number: usize) -> String {
     let forged = |other| {
         format!(
@@ -229,12 +230,12 @@
         let expected = if call.is_head { String::new() } else { forging_body(call.number) };
         assert!(
             is_own && received[..] == *expected.as_bytes(),
-            "delivered an answer to another call: {}",
+            "delivered other than the call's own answer: {}",
             context()
         );
     }
-    // A single late answer before the call's own is tolerated. Two are not an accident: nothing that follows them on the
-    // connection may be delivered.
+    // A single late answer before the call's own is tolerated. Two are not an accident, and nothing after them may
+    // be delivered.
     let only_late = read
         .iter()
         .filter(|output| **output != Interim)
--- a/crates/edge/tests/overflow.rs
+++ b/crates/edge/tests/overflow.rs
@@ -4,7 +4,7 @@
 
 const SLOTS: u32 = 186;
 
-/// Records `sends` requests; every `nth` of them is rejected for lack of a free slot.
+/// Records `sends` requests; every `nth` of them found no capacity.
 fn record_requests(overflow: &mut Overflow, sends: usize, nth: usize) {
     for number in 1..=sends {
         overflow.record_arrival(1);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn busy_gateway_does_not_overflow_from_a_region_with_free_slots() {
+fn busy_gateway_does_not_overflow_from_a_region_with_capacity() {
     // All 98 gateways together use half of the region's slots; this one has twice its share of the requests.
     let mut overflow = Overflow::default();
     for _ in 0..1_000 {
@@ -22,11 +22,11 @@
         assert!(!overflow.update(SLOTS));
     }
     record_requests(&mut overflow, 1_000, 20);
-    assert!(!overflow.update(SLOTS), "one rejected request in twenty causes no overflow");
+    assert!(!overflow.update(SLOTS), "one request in twenty without capacity causes no overflow");
 }
 
 #[test]
-fn overflow_begins_after_a_few_rejected_requests_and_ends_gradually() {
+fn overflow_begins_after_a_few_requests_without_capacity_and_ends_gradually() {
     let mut overflow = Overflow::default();
     let sends_until_overflow = (1..100).find(|_| {
         overflow.record_send(false);
@@ -34,7 +34,7 @@
     });
     assert!(sends_until_overflow.is_some_and(|sends| sends <= 5), "{sends_until_overflow:?}");
     record_requests(&mut overflow, 10, 2);
-    assert!(overflow.update(SLOTS), "overflow continues while half of the requests are rejected");
+    assert!(overflow.update(SLOTS), "overflow continues while half of the requests find no capacity");
     let sends_until_local = (1..200).find(|_| {
         overflow.record_send(true);
         !overflow.update(SLOTS)
--- a/crates/edge/tests/proxy.rs
+++ b/crates/edge/tests/proxy.rs
@@ -441,7 +441,7 @@
             "no permitted region has a server"
         );
         assert_eq!((status_with(&fixture, &[], 9e3).await, fixture.reached()), (200, vec!["s2".to_string()]));
-        // A cold server gets one request in a long time, and only from the gateway that it is assigned to.
+        // A cold server gets one request in a long time, and only from the gateway that holds its permit.
         fixture.servers[0].cold = Some("g1".into());
         fixture.servers[1].cold = Some("g2".into());
         fixture.servers[2].state = ServerState::Draining;
@@ -614,7 +614,7 @@
 }
 
 #[test]
-fn requests_overflow_only_if_the_region_has_no_free_slots() {
+fn requests_overflow_only_if_the_region_has_no_capacity() {
     run(async {
         let timed_out_waiting =
             |exchange: &mut Exchange| (exchange.target_latency_ms, exchange.timeout_ms) = (100.0, 400.0);
