--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -2,7 +2,7 @@
 //! pass with [`Facade::tick`]. Each call returns what is decided by then, also for other requests. The
 //! module's events and actions stay in here.
 
-use crate::ledger::Whose;
+use crate::ledger::CountOwner;
 use nickeljunction_decide::api::{self, Action, Event, ListKind, ServerEntry, ServerState, Status};
 use nickeljunction_decide::decide::Limiter;
 use std::collections::BTreeMap;
@@ -24,11 +24,11 @@
     /// The franchisee.
     pub customer: u64,
     /// How long the client waits, ms.
-    pub patience_ms: f64,
+    pub timeout_ms: f64,
     /// Guessed units.
     pub units: f64,
     /// Through how many gateways this franchisee's requests come in.
-    pub doors: usize,
+    pub gateways: usize,
     /// The client marked it as a retry.
     pub retry: bool,
 }
@@ -54,17 +54,17 @@
     /// The region failed; the request may have run.
     Error,
     /// Turned away unseen: it never ran.
-    TurnedAway,
+    Rejected,
     /// The request was never wholly written: it never ran.
     CouldNotConnect,
     /// The connection broke after the request's last byte: it may have run.
     Reset,
     /// The answer can't be read: it has run, for all this side can tell.
-    Spoilt,
+    Unreadable,
     /// Not answered in time: it may have run.
     TimedOut,
     /// Called off because the request was answered otherwise: it may have run, and that tells nothing of the region.
-    CalledOff,
+    Canceled,
     /// Never sent, since the request or its time had ended meanwhile: it never ran.
     NotSent,
 }
@@ -302,9 +302,9 @@
             class,
             plan: intake.plan.clone(),
             customer: intake.customer,
-            timeout_ms: intake.patience_ms,
+            timeout_ms: intake.timeout_ms,
             units: intake.units,
-            gateways: intake.doors,
+            gateways: intake.gateways,
             retry: intake.retry,
         };
         self.attempts.insert(request, 0);
@@ -327,12 +327,12 @@
                 let status = match outcome {
                     Outcome::Served => Status::Ok,
                     Outcome::Error => Status::Failed,
-                    Outcome::TurnedAway => Status::QueueFull,
+                    Outcome::Rejected => Status::QueueFull,
                     Outcome::CouldNotConnect => Status::ConnectError,
                     Outcome::Reset => Status::Reset,
-                    Outcome::Spoilt => Status::Unreadable,
+                    Outcome::Unreadable => Status::Unreadable,
                     Outcome::TimedOut => Status::TimedOut,
-                    Outcome::CalledOff => Status::Canceled,
+                    Outcome::Canceled => Status::Canceled,
                     Outcome::NotSent => Status::NotSent,
                 };
                 // A figure on use that can't be true says nothing; believed, it would empty a quota.
@@ -395,7 +395,7 @@
     /// Takes new figures: those of plans for windows that begin at `from` (ms) or later, the others at once. Must
     /// name the classes and plans of before in their order; new plans come last.
     /// [`check`] must have found them good.
-    pub fn retune(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
+    pub fn update_settings(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
         if let Some(tap) = &mut self.tap {
             tap.input(now, Input::Tuned(&settings, from, epoch));
         }
@@ -408,11 +408,11 @@
     }
 
     /// The module's counts of attempts out.
-    pub(crate) fn believed(&self) -> BTreeMap<Whose, usize> {
+    pub(crate) fn believed(&self) -> BTreeMap<CountOwner, usize> {
         let regions =
-            self.limiter.attempts_by_server().map(|(uid, out)| (Whose::Region(uid.to_string()), out));
+            self.limiter.attempts_by_server().map(|(uid, out)| (CountOwner::Region(uid.to_string()), out));
         let customers =
-            self.limiter.attempts_by_customer().map(|(number, out)| (Whose::Franchisee(number), out));
+            self.limiter.attempts_by_customer().map(|(number, out)| (CountOwner::Franchisee(number), out));
         regions.chain(customers).collect()
     }
 
@@ -423,15 +423,15 @@
     }
 
     /// Puts one of the module's counts right.
-    pub(crate) fn put_right(&mut self, whose: &Whose, out: usize) {
-        match whose {
-            Whose::Region(uid) => self.limiter.set_attempts_at_server(uid, out),
-            Whose::Franchisee(number) => self.limiter.set_attempts_of_customer(*number, out),
+    pub(crate) fn put_right(&mut self, owner: &CountOwner, out: usize) {
+        match owner {
+            CountOwner::Region(uid) => self.limiter.set_attempts_at_server(uid, out),
+            CountOwner::Franchisee(number) => self.limiter.set_attempts_of_customer(*number, out),
         }
     }
 
     /// The settings allow two attempts of a request to be out at once.
-    pub fn second_copies(&self) -> bool {
+    pub fn hedging_enabled(&self) -> bool {
         self.limiter.hedging()
     }
 
@@ -439,16 +439,16 @@
     pub fn copies(&self, intake: &Intake) -> bool {
         let repeats =
             |class: &Class| class.name == intake.class && class.retry_safety != RetrySafety::AtMostOnce;
-        self.second_copies() && !intake.never_twice && self.classes.iter().any(repeats)
+        self.hedging_enabled() && !intake.never_twice && self.classes.iter().any(repeats)
     }
 
     /// The module thinks the fleet short and sheds some of the work.
-    pub fn sheds(&self) -> bool {
+    pub fn is_shedding(&self) -> bool {
         self.limiter.admission_probability() < SHEDS_UNDER
     }
 
     /// The program stops: the counter calls that hand unused leases back.
-    pub fn retire(&mut self, now: f64) -> Vec<Verdict> {
+    pub fn shut_down(&mut self, now: f64) -> Vec<Verdict> {
         if let Some(tap) = &mut self.tap {
             tap.input(now, Input::Retired);
         }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -5,7 +5,7 @@
 
 /// Of whom two counts differ.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Whose {
+pub enum CountOwner {
     /// Of a region, by its uid.
     Region(String),
     /// Of a franchisee.
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
     /// Of whom.
-    pub whose: Whose,
+    pub owner: CountOwner,
     /// What the core has out.
     pub out: usize,
     /// What the module believed.
@@ -25,16 +25,17 @@
 
 /// The counts that differ; what is in one book alone counts as 0 in the other.
 pub(crate) fn differences(
-    out: &BTreeMap<Whose, usize>,
-    believed: &BTreeMap<Whose, usize>,
+    out: &BTreeMap<CountOwner, usize>,
+    believed: &BTreeMap<CountOwner, usize>,
 ) -> Vec<Difference> {
-    let count = |book: &BTreeMap<Whose, usize>, whose: &Whose| book.get(whose).copied().unwrap_or_default();
-    let only_believed = believed.keys().filter(|whose| !out.contains_key(whose));
+    let count =
+        |book: &BTreeMap<CountOwner, usize>, owner: &CountOwner| book.get(owner).copied().unwrap_or_default();
+    let only_believed = believed.keys().filter(|owner| !out.contains_key(owner));
     (out.keys().chain(only_believed))
-        .map(|whose| Difference {
-            whose: whose.clone(),
-            out: count(out, whose),
-            believed: count(believed, whose),
+        .map(|owner| Difference {
+            owner: owner.clone(),
+            out: count(out, owner),
+            believed: count(believed, owner),
         })
         .filter(|difference| difference.out != difference.believed)
         .collect()
--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -8,7 +8,7 @@
     CounterReply, Ending, Facade, Intake, Outcome, Report, RequestKey, RoutedTask, ServiceTable, Settings,
     Tap, Verdict,
 };
-use crate::ledger::{differences, Difference, Whose};
+use crate::ledger::{differences, CountOwner, Difference};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time before the client's deadline at which a request is answered for good, ms: an answer given at the
@@ -32,13 +32,13 @@
     type Content;
     /// A region's good answer, opaque here.
     type Served;
-    /// Starts an attempt, to be answered by [`Core::ended`]; `limit_ms` is the time to wait for it.
+    /// Starts an attempt, to be answered by [`Core::attempt_ended`]; `limit_ms` is the time to wait for it.
     fn route(&mut self, task: &RoutedTask, content: &Self::Content, limit_ms: f64);
     /// Ends one attempt at once, on the wire too, because of this outcome; nothing more may be told of it.
     fn give_up(&mut self, request: RequestKey, attempt: usize, why: Outcome);
     /// Gives the final answer.
     fn answer(&mut self, content: Self::Content, answer: Answer<Self::Served>);
-    /// Calls the counter, to be answered by [`Core::counted`].
+    /// Calls the counter, to be answered by [`Core::counter_replied`].
     fn count(&mut self, name: String, amount: f64, life_ms: f64);
     /// Closes idle connections to a region.
     fn close_idle(&mut self, region: &str);
@@ -118,12 +118,12 @@
     }
 
     /// The core's counts of attempts out, by region and franchisee.
-    fn out(&self) -> BTreeMap<Whose, usize> {
+    fn out(&self) -> BTreeMap<CountOwner, usize> {
         let mut counts = BTreeMap::new();
         for request in self.requests.values() {
             for out in &request.out {
-                *counts.entry(Whose::Region(out.task.region.clone())).or_default() += 1;
-                *counts.entry(Whose::Franchisee(request.franchisee)).or_default() += 1;
+                *counts.entry(CountOwner::Region(out.task.region.clone())).or_default() += 1;
+                *counts.entry(CountOwner::Franchisee(request.franchisee)).or_default() += 1;
             }
         }
         counts
@@ -143,11 +143,11 @@
                 let closed = entry.is_none_or(|entry| entry.content.is_none());
                 let task = RoutedTask { request: key, attempt, region, limit_ms: 0.0 };
                 let out = Out { task, sent: now, until: now };
-                self.settle(now, key, out, Outcome::CalledOff, 0.0, closed);
+                self.settle(now, key, out, Outcome::Canceled, 0.0, closed);
             }
         }
         for rest in differences(&self.out(), &self.facade.believed()) {
-            self.facade.put_right(&rest.whose, rest.out);
+            self.facade.put_right(&rest.owner, rest.out);
         }
         found
     }
@@ -161,8 +161,8 @@
         mut intake: Intake,
         content: P::Content,
     ) {
-        intake.patience_ms = (intake.patience_ms - age_ms - ANSWER_MARGIN_MS).max(0.0);
-        let deadline = now + intake.patience_ms;
+        intake.timeout_ms = (intake.timeout_ms - age_ms - ANSWER_MARGIN_MS).max(0.0);
+        let deadline = now + intake.timeout_ms;
         let wake = deadline.ceil() as u64;
         self.wakes.insert((wake, key));
         let copies = self.facade.copies(&intake);
@@ -179,7 +179,7 @@
     }
 
     /// An attempt ended by itself.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: f64,
         request: RequestKey,
@@ -201,7 +201,7 @@
     }
 
     /// The client has gone. The attempt that is out goes on: its answer tells the true units.
-    pub fn left(&mut self, now: f64, request: RequestKey) {
+    pub fn client_left(&mut self, now: f64, request: RequestKey) {
         let Some(entry) = self.requests.get_mut(&request) else { return };
         if entry.content.take().is_none() {
             return;
@@ -212,13 +212,13 @@
     }
 
     /// The counter answered.
-    pub fn counted(&mut self, now: f64, name: String, reply: CounterReply) {
+    pub fn counter_replied(&mut self, now: f64, name: String, reply: CounterReply) {
         let verdicts = self.facade.report(now, Report::Counted(name, reply));
         self.carry_out(now, verdicts);
     }
 
     /// The service table changed.
-    pub fn table(&mut self, now: f64, table: ServiceTable, saved: bool) {
+    pub fn update_service_table(&mut self, now: f64, table: ServiceTable, saved: bool) {
         let verdicts = self.facade.report(now, Report::Table { table, saved });
         self.carry_out(now, verdicts);
     }
@@ -242,9 +242,9 @@
     }
 
     /// Takes new figures; requests under way keep the deadline and class that they came with. See
-    /// [`Facade::retune`].
-    pub fn retune(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
-        self.facade.retune(now, settings, from, epoch);
+    /// [`Facade::update_settings`].
+    pub fn update_settings(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
+        self.facade.update_settings(now, settings, from, epoch);
     }
 
     /// Sets or takes away who sees what goes into the module and comes out of it.
@@ -253,13 +253,13 @@
     }
 
     /// The module thinks the fleet short.
-    pub fn sheds(&self) -> bool {
-        self.facade.sheds()
+    pub fn is_shedding(&self) -> bool {
+        self.facade.is_shedding()
     }
 
     /// The program stops: unused leases go back to the counter.
-    pub fn retire(&mut self, now: f64) {
-        let verdicts = self.facade.retire(now);
+    pub fn shut_down(&mut self, now: f64) {
+        let verdicts = self.facade.shut_down(now);
         self.carry_out(now, verdicts);
     }
 
@@ -326,8 +326,8 @@
                     let Some(entry) = self.requests.get_mut(&request) else { continue };
                     let Some(out) = entry.take_out(attempt) else { continue };
                     let closed = entry.content.is_none();
-                    self.ports.give_up(request, attempt, Outcome::CalledOff);
-                    self.settle(now, request, out, Outcome::CalledOff, 0.0, closed);
+                    self.ports.give_up(request, attempt, Outcome::Canceled);
+                    self.settle(now, request, out, Outcome::Canceled, 0.0, closed);
                 }
                 Verdict::Count(name, amount, life_ms) => self.ports.count(name, amount, life_ms),
                 Verdict::CloseIdle(region) => self.ports.close_idle(&region),
@@ -338,7 +338,7 @@
 
     fn route(&mut self, now: f64, task: RoutedTask) {
         let key = task.request;
-        let copies = self.facade.second_copies();
+        let copies = self.facade.hedging_enabled();
         let (closed, fit) = self.requests.get(&key).map_or((true, false), |entry| {
             let room = entry.out.is_empty() || (entry.copies && copies);
             (entry.content.is_none(), entry.content.is_some() && now < entry.deadline && room)
@@ -465,15 +465,15 @@
             order: 0.0,
         };
         let table = ServiceTable { rev: 1, all: true, regions: vec![region("r1"), region("r2")] };
-        core.table(1_000.0, table, true);
+        core.update_service_table(1_000.0, table, true);
         core
     }
 
     fn arrive(core: &mut Core<Log>) {
         let (class, plan) = ("c".to_string(), "p".to_string());
-        let (customer, patience_ms, units, doors) = (1, 1_000.0, 1.0, 1);
+        let (customer, timeout_ms, units, gateways) = (1, 1_000.0, 1.0, 1);
         let intake =
-            Intake { class, never_twice: false, plan, customer, patience_ms, units, doors, retry: false };
+            Intake { class, never_twice: false, plan, customer, timeout_ms, units, gateways, retry: false };
         core.arrive(1_000.0, 7, 0.0, intake, "x");
     }
 
@@ -481,9 +481,9 @@
     fn one_answer_whatever_comes_twice() {
         let mut core = core(RetrySafety::Idempotent);
         arrive(&mut core);
-        core.ended(1_050.0, 7, 0, Outcome::Served, 1.0, Some("fine"));
-        core.ended(1_051.0, 7, 0, Outcome::Served, 1.0, Some("again"));
-        core.left(1_052.0, 7);
+        core.attempt_ended(1_050.0, 7, 0, Outcome::Served, 1.0, Some("fine"));
+        core.attempt_ended(1_051.0, 7, 0, Outcome::Served, 1.0, Some("again"));
+        core.client_left(1_052.0, 7);
         core.tick(9_000.0);
         assert_eq!(core.ports().0, ["route x 0 980", "answer x fine"]);
         assert_eq!((core.unanswered(), core.requests.len(), core.wakes.len()), (0, 0, 0));
@@ -493,9 +493,9 @@
     fn a_client_that_left_gets_nothing_and_its_attempt_is_still_accounted_for() {
         let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
-        core.left(1_010.0, 7);
+        core.client_left(1_010.0, 7);
         assert_eq!(core.requests.len(), 1, "the attempt is out");
-        core.ended(1_050.0, 7, 0, Outcome::Served, 1.0, Some("fine"));
+        core.attempt_ended(1_050.0, 7, 0, Outcome::Served, 1.0, Some("fine"));
         assert_eq!(core.ports().0, ["route x 0 980"]);
         assert_eq!((core.requests.len(), core.wakes.len()), (0, 0));
     }
@@ -508,7 +508,7 @@
         assert_eq!(core.ports().0.len(), 1, "not yet");
         core.tick(1_980.0);
         assert_eq!(core.ports().0, ["route x 0 980", "give up 7 0 TimedOut", "answer x failed"]);
-        core.ended(1_981.0, 7, 0, Outcome::Served, 1.0, Some("late"));
+        core.attempt_ended(1_981.0, 7, 0, Outcome::Served, 1.0, Some("late"));
         assert_eq!(core.ports().0.len(), 3, "news of a closed attempt");
     }
 
@@ -516,8 +516,8 @@
     fn what_never_ran_goes_out_again_and_what_may_have_run_does_not() {
         let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
-        core.ended(1_010.0, 7, 0, Outcome::CouldNotConnect, 0.0, None);
-        core.ended(1_020.0, 7, 1, Outcome::Reset, 0.0, None);
+        core.attempt_ended(1_010.0, 7, 0, Outcome::CouldNotConnect, 0.0, None);
+        core.attempt_ended(1_020.0, 7, 1, Outcome::Reset, 0.0, None);
         assert_eq!(core.ports().0, ["route x 0 980", "route x 1 970", "answer x failed"]);
     }
 }
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -6,7 +6,7 @@
     Class, CounterReply, DedupScope, Facade, Intake, Outcome, Plan, RegionEntry, RegionState, RequestKey,
     RetrySafety, RoutedTask, ServiceTable, Settings,
 };
-use crate::ledger::{Difference, Whose};
+use crate::ledger::{CountOwner, Difference};
 use crate::life::{Answer, Core, Ports};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -149,7 +149,7 @@
         };
         let listed = REGIONS.iter().enumerate().filter(|(at, _)| pick != at + 6);
         let table = ServiceTable { rev: self.rev, all: true, regions: listed.map(entry).collect() };
-        self.core.table(self.now, table, false);
+        self.core.update_service_table(self.now, table, false);
     }
 
     fn arrive(&mut self, pick: usize) {
@@ -160,9 +160,9 @@
             never_twice: false,
             plan: PLANS[pick / 3 % 3].into(),
             customer: (pick / 9 % 4) as u64,
-            patience_ms: PATIENCE_MS,
+            timeout_ms: PATIENCE_MS,
             units: (1 + pick % 4) as f64,
-            doors: 2,
+            gateways: 2,
             retry: false,
         };
         let most = self.core.ports().most_attempts;
@@ -182,12 +182,12 @@
             Outcome::Served,
             Outcome::Served,
             Outcome::Error,
-            Outcome::TurnedAway,
+            Outcome::Rejected,
             Outcome::CouldNotConnect,
             Outcome::Reset,
-            Outcome::Spoilt,
+            Outcome::Unreadable,
         ][pick % 8];
-        if out && matches!(outcome, Outcome::TurnedAway | Outcome::CouldNotConnect) {
+        if out && matches!(outcome, Outcome::Rejected | Outcome::CouldNotConnect) {
             let region = wire.tasks[&(key, attempt)].clone();
             let ran = wire.ran.entry(key).or_default();
             ran.retain({
@@ -196,7 +196,7 @@
             });
         }
         let served = (outcome == Outcome::Served).then_some(());
-        self.core.ended(self.now, key, attempt, outcome, 2.0, served);
+        self.core.attempt_ended(self.now, key, attempt, outcome, 2.0, served);
     }
 
     fn step(&mut self, kind: u8, pick: usize) {
@@ -212,20 +212,20 @@
                         1 => CounterReply::Busy,
                         _ => CounterReply::Total((pick % 40) as f64),
                     };
-                    self.core.counted(self.now, name, reply);
+                    self.core.counter_replied(self.now, name, reply);
                 }
             }
             8 if self.last > 0 => {
                 let key = 1 + pick as u64 % self.last;
                 self.departed.insert(key);
-                self.core.left(self.now, key);
+                self.core.client_left(self.now, key);
             }
             9 if pick.is_multiple_of(4) => self.table(pick / 4 % 16),
             10 if pick.is_multiple_of(8) => {
                 let (copies, most) = (pick & 8 != 0, 1 + pick / 16 % 4);
                 // What is out goes on; only what is sent from now on is bound.
                 (self.core.ports().copies, self.core.ports().most_attempts) = (copies, most);
-                self.core.retune(self.now, settings(copies, self.cancel, most), self.now, 0);
+                self.core.update_settings(self.now, settings(copies, self.cancel, most), self.now, 0);
             }
             _ => {
                 self.now += (1 + pick % 80) as f64;
@@ -283,9 +283,9 @@
     let (key, region) = (world.last, world.core.ports().tasks[&(1, 0)].clone());
     world.core.forget_out(key);
     world.core.ports().out.clear();
-    let lost = |whose| Difference { whose, out: 0, believed: 1 };
+    let lost = |owner| Difference { owner, out: 0, believed: 1 };
     let found = world.core.audit(world.now);
-    assert_eq!(found, [lost(Whose::Region(region)), lost(Whose::Franchisee(0))]);
+    assert_eq!(found, [lost(CountOwner::Region(region)), lost(CountOwner::Franchisee(0))]);
     assert_eq!(world.core.audit(world.now), [], "healed");
     world.close();
 }
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -473,7 +473,7 @@
                 }
             }
             release_connection(pool, server_id, connection, &answer, body.is_complete() && !misdirected);
-            return Ok(SendResult { misdirected, ..SendResult::new(Outcome::TurnedAway, None, None) });
+            return Ok(SendResult { misdirected, ..SendResult::new(Outcome::Rejected, None, None) });
         }
         AnswerVerdict::Mismatch(reason) => return Err(SendError::Mismatch(connection.peer, reason)),
         AnswerVerdict::Deliver(outcome) => (outcome, true, false),
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -101,7 +101,9 @@
                 Outcome::CouldNotConnect
             }
             SendError::Write(..) | SendError::InvalidBody(_) | SendError::NoAnswer(..) => Outcome::Reset,
-            SendError::Truncated(_) | SendError::Malformed(..) | SendError::Mismatch(..) => Outcome::Spoilt,
+            SendError::Truncated(_) | SendError::Malformed(..) | SendError::Mismatch(..) => {
+                Outcome::Unreadable
+            }
         }
     }
 }
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -315,7 +315,7 @@
                 let table = self.table_changes(lane);
                 self.update_min_subset(lane);
                 if !table.regions.is_empty() {
-                    self.run_turn(lane, |core, now| core.table(now, table, false));
+                    self.run_turn(lane, |core, now| core.update_service_table(now, table, false));
                 }
             }
             // A waiting request may have been sent to a cold server at once. The server is then not ready for another
@@ -377,9 +377,9 @@
             }
             for (request, attempt, is_abandoned) in denied {
                 if is_abandoned {
-                    core.left(now, request);
+                    core.client_left(now, request);
                 }
-                core.ended(now, request, attempt, Outcome::NotSent, 0.0, None);
+                core.attempt_ended(now, request, attempt, Outcome::NotSent, 0.0, None);
             }
         }
     }
@@ -463,7 +463,7 @@
             }
             self.drive(lane, |core, now| {
                 for difference in core.audit(now) {
-                    let (whose, out, believed) = (difference.whose, difference.out, difference.believed);
+                    let (whose, out, believed) = (difference.owner, difference.out, difference.believed);
                     log::error!("event=books_differ whose={whose:?} out={out} believed={believed}");
                 }
             });
@@ -511,7 +511,7 @@
         self.lanes.borrow_mut().push(lane.clone());
         let table = self.table_changes(&lane);
         self.update_min_subset(&lane);
-        self.run_turn(&lane, |core, now| core.table(now, table, false));
+        self.run_turn(&lane, |core, now| core.update_service_table(now, table, false));
         Some(lane)
     }
 
@@ -534,7 +534,7 @@
         let settings = self.settings(&lane.classes.borrow(), lane.max_attempts.get(), lane.min_subset.get());
         lane.settings_epoch.set(lane.settings_epoch.get() + 1);
         let epoch = lane.settings_epoch.get();
-        self.run_turn(lane, |core, now| core.retune(now, settings, f64::NEG_INFINITY, epoch));
+        self.run_turn(lane, |core, now| core.update_settings(now, settings, f64::NEG_INFINITY, epoch));
     }
 
     /// The name of a request's class in the lane; a new class is added to the module's settings.
@@ -606,9 +606,9 @@
                 biased;
                 result = &mut sending => result,
                 () = request.abandoned() => {
-                    self.drive(&lane, |core, now| core.left(now, key));
+                    self.drive(&lane, |core, now| core.client_left(now, key));
                     if request.retry_safety != RetrySafety::AtMostOnce {
-                        self.finish_send(&lane, &task, Outcome::CalledOff, None);
+                        self.finish_send(&lane, &task, Outcome::Canceled, None);
                         return;
                     }
                     // A server may be working on the request, and aborts its work when the connection closes: a request
@@ -650,7 +650,7 @@
         let mut response = result.response;
         if request.on_send_end(task.attempt, &mut response) && request.is_answered() {
             // The core needs no further sends of the request.
-            self.drive(&lane, |core, now| core.left(now, key));
+            self.drive(&lane, |core, now| core.client_left(now, key));
         }
         self.finish_send(&lane, &task, result.outcome, response);
         drop(lane);
@@ -668,8 +668,8 @@
     fn record_capacity(&self, lane: &Lane, server: &str, outcome: Outcome, is_in_time: bool) {
         let had_capacity = match outcome {
             Outcome::Served | Outcome::Error => is_in_time,
-            Outcome::TurnedAway | Outcome::Reset | Outcome::TimedOut => false,
-            Outcome::CouldNotConnect | Outcome::Spoilt | Outcome::CalledOff | Outcome::NotSent => return,
+            Outcome::Rejected | Outcome::Reset | Outcome::TimedOut => false,
+            Outcome::CouldNotConnect | Outcome::Unreadable | Outcome::Canceled | Outcome::NotSent => return,
         };
         let is_local =
             |upstream: &Upstream| locality_distance(upstream, &self.context.here) < OTHER_REGION_DISTANCE;
@@ -696,7 +696,7 @@
             if core.ports().sends.remove(&(request, attempt)).is_some() {
                 self.context.update_counts(|counts| counts.count_outcome(outcome));
             }
-            core.ended(now, request, attempt, outcome, 0.0, response);
+            core.attempt_ended(now, request, attempt, outcome, 0.0, response);
         });
     }
 
@@ -747,9 +747,9 @@
             never_twice: false,
             plan: String::new(),
             customer: 0,
-            patience_ms: timeout_ms,
+            timeout_ms,
             units: 1.0,
-            doors: 1,
+            gateways: 1,
             retry: false,
         };
         let (in_flight, now) = (lane.core.borrow().unanswered(), self.context.wheel.now());
--- a/crates/edge/src/proxy_types.rs
+++ b/crates/edge/src/proxy_types.rs
@@ -94,12 +94,12 @@
         let count = match outcome {
             Outcome::Served => &mut self.served,
             Outcome::Error => &mut self.errors,
-            Outcome::TurnedAway => &mut self.rejected,
+            Outcome::Rejected => &mut self.rejected,
             Outcome::CouldNotConnect => &mut self.connect_failures,
             Outcome::Reset => &mut self.resets,
-            Outcome::Spoilt => &mut self.invalid_answers,
+            Outcome::Unreadable => &mut self.invalid_answers,
             Outcome::TimedOut => &mut self.timed_out,
-            Outcome::CalledOff => &mut self.cancelled,
+            Outcome::Canceled => &mut self.cancelled,
             Outcome::NotSent => return,
         };
         *count += 1;
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -124,9 +124,9 @@
                     never_twice: false,
                     plan: String::new(),
                     customer: 0,
-                    patience_ms: 2.5 * self.shape.aim_ms,
+                    timeout_ms: 2.5 * self.shape.aim_ms,
                     units: 1.0,
-                    doors: 1,
+                    gateways: 1,
                     retry: false,
                 };
                 let verdicts = self.gateways[gateway].pick(now_ms, request, &intake);
--- a/crates/gateway/src/cli/trace.rs
+++ b/crates/gateway/src/cli/trace.rs
@@ -402,7 +402,7 @@
                 match &event {
                     Event::Route(_) => life.out += 1,
                     Event::Ended { region, outcome, closed, .. } => {
-                        let never = [Outcome::TurnedAway, Outcome::CouldNotConnect, Outcome::NotSent];
+                        let never = [Outcome::Rejected, Outcome::CouldNotConnect, Outcome::NotSent];
                         if !never.contains(outcome) {
                             life.may_have_run.push(region.clone());
                         }
@@ -470,7 +470,7 @@
             intake.plan,
             intake.customer,
             intake.units,
-            intake.patience_ms,
+            intake.timeout_ms,
             if intake.retry { ", a client's retry" } else { "" },
         ),
         Event::Route(task) => format!("attempt {} goes to {}", task.attempt, task.region),
@@ -478,12 +478,12 @@
             let what = match outcome {
                 Outcome::Served => "was served",
                 Outcome::Error => "failed there; it may have run",
-                Outcome::TurnedAway => "was turned away unseen; it never ran",
+                Outcome::Rejected => "was turned away unseen; it never ran",
                 Outcome::CouldNotConnect => "never reached it; it never ran",
                 Outcome::Reset => "broke off; it may have run",
-                Outcome::Spoilt => "came back unreadable; it has run",
+                Outcome::Unreadable => "came back unreadable; it has run",
                 Outcome::TimedOut => "was given up; it may have run, or may yet",
-                Outcome::CalledOff => "was called off, another one did it; it may have run",
+                Outcome::Canceled => "was called off, another one did it; it may have run",
                 Outcome::NotSent => "was never sent",
             };
             let units = if *settled > 0.0 { format!(", {settled} units") } else { String::new() };
--- a/crates/gateway/src/front/openapi/mod.rs
+++ b/crates/gateway/src/front/openapi/mod.rs
@@ -188,9 +188,9 @@
             never_twice: never_twice && class.retry_safety != RetrySafety::AtMostOnce,
             plan: caller.plan,
             customer: caller.customer,
-            patience_ms: caller.patience_ms.unwrap_or(class.client_timeout_ms).min(class.client_timeout_ms),
+            timeout_ms: caller.patience_ms.unwrap_or(class.client_timeout_ms).min(class.client_timeout_ms),
             units,
-            doors: caller.doors.unwrap_or(self.siblings),
+            gateways: caller.doors.unwrap_or(self.siblings),
             retry: caller.retry,
         })
     }
--- a/crates/gateway/src/front/platform.rs
+++ b/crates/gateway/src/front/platform.rs
@@ -51,9 +51,9 @@
             never_twice: false,
             plan: caller.plan,
             customer: caller.customer,
-            patience_ms: caller.patience_ms.unwrap_or(class.client_timeout_ms).min(class.client_timeout_ms),
+            timeout_ms: caller.patience_ms.unwrap_or(class.client_timeout_ms).min(class.client_timeout_ms),
             units: caller.units.unwrap_or(1.0),
-            doors: caller.doors.unwrap_or(self.siblings),
+            gateways: caller.doors.unwrap_or(self.siblings),
             retry: caller.retry,
         })
     }
--- a/crates/gateway/src/net/hub.rs
+++ b/crates/gateway/src/net/hub.rs
@@ -6,7 +6,7 @@
 use crate::tally::Tally;
 use bytes::{Bytes, BytesMut};
 use nickeljunction_core::facade::{Outcome, RequestKey, RoutedTask, Settings, Tap};
-use nickeljunction_core::ledger::{Difference, Whose};
+use nickeljunction_core::ledger::{CountOwner, Difference};
 use nickeljunction_core::life::{Answer, Core, Ports};
 use nickeljunction_http::{RegionReply, TerminalRequest};
 use nickeljunction_net::wheel::Wheel;
@@ -82,7 +82,7 @@
         if let Some((attempt, region)) = self.out.remove(&(request, number)) {
             attempt.abort();
             // An attempt that another one made idle says nothing against its region.
-            if let Some(tally) = self.tally.as_ref().filter(|_| why != Outcome::CalledOff) {
+            if let Some(tally) = self.tally.as_ref().filter(|_| why != Outcome::Canceled) {
                 tally.attempt(self.wheel.now(), region, false);
             }
         }
@@ -137,7 +137,7 @@
 #[derive(Default)]
 struct Audit {
     due: f64,
-    named: Vec<Whose>,
+    named: Vec<CountOwner>,
 }
 
 impl Audit {
@@ -150,10 +150,10 @@
         self.due = now + AUDIT_MS;
         let found = core.audit(now);
         core.ports().regions.figures().put_right(found.len());
-        for Difference { whose, out, believed } in found {
-            if self.named.len() < MOST_NAMED && !self.named.contains(&whose) {
-                tracing::error!(?whose, out, believed, "books of attempts out differed and were put right");
-                self.named.push(whose);
+        for Difference { owner, out, believed } in found {
+            if self.named.len() < MOST_NAMED && !self.named.contains(&owner) {
+                tracing::error!(whose = ?owner, out, believed, "books of attempts out differed and were put right");
+                self.named.push(owner);
             }
         }
     }
@@ -189,26 +189,26 @@
 
 fn take(core: &mut Core<World>, input: Input, now: f64) {
     if let Some(tally) = core.ports().tally.clone() {
-        tally.sheds(core.sheds());
+        tally.sheds(core.is_shedding());
     }
     match input {
         Input::Arrive(key, at, intake, exchange) => core.arrive(now, key, now - at, intake, exchange),
-        Input::Left(key) => core.left(now, key),
+        Input::Left(key) => core.client_left(now, key),
         Input::Ended(key, attempt, outcome, reply) => {
             let settled = reply.as_ref().and_then(|reply| reply.settled).unwrap_or(0.0);
             let ended = core.ports().out.remove(&(key, attempt));
             if let (Some(tally), Some((_, region))) = (core.ports().tally.clone(), ended) {
                 tally.attempt(now, region, outcome == Outcome::Served);
             }
-            core.ended(now, key, attempt, outcome, settled, reply);
+            core.attempt_ended(now, key, attempt, outcome, settled, reply);
         }
-        Input::Counted(name, reply) => core.counted(now, name, reply),
+        Input::Counted(name, reply) => core.counter_replied(now, name, reply),
         Input::Table(table) => {
             core.ports().regions.follow(&table);
-            core.table(now, table, false);
+            core.update_service_table(now, table, false);
         }
         Input::Retire(done) => {
-            core.retire(now);
+            core.shut_down(now);
             let _ = done.send(());
         }
         Input::Turn(turn) => turn(core, now),
--- a/crates/gateway/src/net/region.rs
+++ b/crates/gateway/src/net/region.rs
@@ -231,7 +231,7 @@
             // Only this connection is of no more use: the region and its other connections are what they were.
             Some(Err(error)) => {
                 tracing::debug!(uid, %error, "a spoilt answer");
-                return (Outcome::Spoilt, None);
+                return (Outcome::Unreadable, None);
             }
         };
         // Bytes past the answer would be taken for the answer to the next request.
@@ -241,7 +241,7 @@
         match reply.status {
             // A redirection or a client's error is an answer, too: the region has dealt with the request.
             200..=428 | 430..=499 => (Outcome::Served, Some(reply)),
-            503 | 504 if reply.not_started => (Outcome::TurnedAway, None),
+            503 | 504 if reply.not_started => (Outcome::Rejected, None),
             _ => (Outcome::Error, None),
         }
     }
--- a/crates/gateway/src/plugin.rs
+++ b/crates/gateway/src/plugin.rs
@@ -150,7 +150,7 @@
             (Some(now), Some(then)) if strictness(then.retry_safety) >= strictness(now.retry_safety) => {
                 // A class that is never run twice needs no twin that is not.
                 intake.never_twice &= then.retry_safety != RetrySafety::AtMostOnce;
-                intake.patience_ms = intake.patience_ms.min(then.client_timeout_ms);
+                intake.timeout_ms = intake.timeout_ms.min(then.client_timeout_ms);
                 intake.class = then.name.clone();
             }
             _ => self.note(&self.loosened, &format!("class {value} is left aside: unknown or looser")),
@@ -216,9 +216,9 @@
             never_twice: false,
             plan: "gold".into(),
             customer: 5,
-            patience_ms: 2_000.0,
+            timeout_ms: 2_000.0,
             units: 2.0,
-            doors: 1,
+            gateways: 1,
             retry: false,
         }
     }
@@ -232,7 +232,7 @@
     fn a_script_may_tighten() {
         let tight = Intake { never_twice: true, units: 4.0, ..intake() };
         assert_eq!(review("#{never_twice: true, units: 4}"), Review::Pass(tight));
-        let strict = Intake { class: "once".into(), patience_ms: 1_000.0, ..intake() };
+        let strict = Intake { class: "once".into(), timeout_ms: 1_000.0, ..intake() };
         assert_eq!(review("if request.path == \"/safe/1\" { #{class: \"once\"} }"), Review::Pass(strict));
         assert_eq!(review("#{refuse: request.customer == 5, retry_after_ms: 250}"), Review::Refuse(250.0));
         assert_eq!(review("#{units: 99}"), Review::Pass(Intake { units: 6.0, ..intake() }));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -392,7 +392,7 @@
     }
     regions.follow(&config.known);
     let (rev, listed) = (config.known.rev, !config.known.regions.is_empty());
-    core.table(wheel.now(), config.known.clone(), true);
+    core.update_service_table(wheel.now(), config.known.clone(), true);
     let mut deciding = spawn_local(hub::run(core, inputs, wheel.clone()));
     spawn_local(regions.reap());
 
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -231,9 +231,9 @@
                 self.put_name(to, &intake.plan);
                 to.push(u8::from(intake.never_twice) | u8::from(intake.retry) << 1);
                 to.whole(intake.customer);
-                to.real(intake.patience_ms);
+                to.real(intake.timeout_ms);
                 to.real(intake.units);
-                to.whole(intake.doors as u64);
+                to.whole(intake.gateways as u64);
             }
             Event::Ended { request, attempt, region, outcome, settled, latency_ms, closed } => {
                 self.put_request(to, *request);
@@ -354,9 +354,9 @@
                     never_twice: flags & 1 != 0,
                     retry: flags & 2 != 0,
                     customer: from.whole()?,
-                    patience_ms: from.real()?,
+                    timeout_ms: from.real()?,
                     units: from.real()?,
-                    doors: usize::try_from(from.whole()?).ok()?,
+                    gateways: usize::try_from(from.whole()?).ok()?,
                 };
                 Event::Taken { request, id, key, intake }
             }
@@ -478,12 +478,12 @@
     match outcome {
         Outcome::Served => 0,
         Outcome::Error => 1,
-        Outcome::TurnedAway => 2,
+        Outcome::Rejected => 2,
         Outcome::CouldNotConnect => 3,
         Outcome::Reset => 4,
-        Outcome::Spoilt => 5,
+        Outcome::Unreadable => 5,
         Outcome::TimedOut => 6,
-        Outcome::CalledOff => 7,
+        Outcome::Canceled => 7,
         Outcome::NotSent => 8,
     }
 }
@@ -492,12 +492,12 @@
     Some(match code {
         0 => Outcome::Served,
         1 => Outcome::Error,
-        2 => Outcome::TurnedAway,
+        2 => Outcome::Rejected,
         3 => Outcome::CouldNotConnect,
         4 => Outcome::Reset,
-        5 => Outcome::Spoilt,
+        5 => Outcome::Unreadable,
         6 => Outcome::TimedOut,
-        7 => Outcome::CalledOff,
+        7 => Outcome::Canceled,
         8 => Outcome::NotSent,
         _ => return None,
     })
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -102,10 +102,10 @@
             Event::Counted(name, reply) => facade.report(now, Report::Counted(name, reply)),
             Event::Table { table, saved } => facade.report(now, Report::Table { table, saved }),
             Event::Tick => facade.tick(now),
-            Event::Retired => facade.retire(now),
+            Event::Retired => facade.shut_down(now),
             Event::Tuned { settings: pairs, from, epoch } => {
                 if let Ok(settings) = settings(&pairs) {
-                    facade.retune(now, settings, from, epoch);
+                    facade.update_settings(now, settings, from, epoch);
                 }
                 Vec::new()
             }
--- a/crates/trace/tests/worlds/mod.rs
+++ b/crates/trace/tests/worlds/mod.rs
@@ -91,7 +91,7 @@
                     let outcome = match () {
                         () if !fails => Outcome::Served,
                         () if self.dice.bool() => Outcome::Error,
-                        () if self.dice.bool() => Outcome::TurnedAway,
+                        () if self.dice.bool() => Outcome::Rejected,
                         () => Outcome::Reset,
                     };
                     let latency_ms = (20.0 + 80.0 * self.dice.f64() * self.dice.f64()).floor();
@@ -204,9 +204,9 @@
             never_twice: class == "safe" && world.dice.f64() < 0.1,
             plan: if world.dice.f64() < 0.3 { "small".into() } else { "large".into() },
             customer: world.dice.u64(0..60) * 7_919,
-            patience_ms: 400.0 + (1_500.0 * world.dice.f64()).floor() - 20.0,
+            timeout_ms: 400.0 + (1_500.0 * world.dice.f64()).floor() - 20.0,
             units: f64::from(world.dice.u32(1..4)),
-            doors: 2,
+            gateways: 2,
             retry: world.dice.f64() < 0.1,
         };
         let id = format!("{:016x}", world.dice.u64(..));
@@ -214,7 +214,7 @@
         let verdicts = world.facade.pick(world.now(), request, &intake);
         world.tell(Event::Taken { request, id, key, intake }, verdicts);
     }
-    let verdicts = world.facade.retire(world.now());
+    let verdicts = world.facade.shut_down(world.now());
     world.tell(Event::Retired, verdicts);
     world.trace
 }
