--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -83,7 +83,7 @@
     /// After it had timed out: it was added, and this is the total after the call.
     Late(f64),
     /// After it had timed out: no more will be known of it.
-    Never,
+    Unresolved,
 }
 
 /// State of a region as the service table tells it.
@@ -115,9 +115,9 @@
     /// When it last started, Unix ms; 0: long ago.
     pub boot_ms: f64,
     /// How near it is to this gateway, 0 for the nearest: nearer ones are chosen first.
-    pub near: u8,
+    pub distance: u8,
     /// Its place among equally near ones in this gateway's own order, lower ones first.
-    pub order: f64,
+    pub rank: f64,
 }
 
 /// Discovery's list, or a change of it.
@@ -152,11 +152,11 @@
         closed: bool,
     },
     /// The client left, or the program has answered for the module.
-    Left(RequestKey),
+    ClientLeft(RequestKey),
     /// The counter answered a call on this name.
-    Counted(String, CounterReply),
+    CounterReplied(String, CounterReply),
     /// The service table changed; `saved`: it is the list of before the start.
-    Table {
+    ServiceTable {
         /// The change.
         table: ServiceTable,
         /// It may be old.
@@ -174,13 +174,13 @@
     /// Final: failed.
     Fail(RequestKey),
     /// Give up an attempt.
-    GiveUp(RequestKey, usize),
+    CancelAttempt(RequestKey, usize),
     /// Call the counter: name, amount, life of a new name in ms.
-    Count(String, f64, f64),
+    IncrementCounter(String, f64, f64),
     /// Close idle connections to a region.
     CloseIdle(String),
     /// A line for the operators.
-    Note(String),
+    Log(String),
 }
 
 /// The class that stands in for `class` where a request must not run twice.
@@ -219,15 +219,15 @@
 #[derive(Debug)]
 pub enum Input<'a> {
     /// A request.
-    Taken(RequestKey, &'a Intake),
+    Request(RequestKey, &'a Intake),
     /// A report.
-    Reported(&'a Report),
+    Report(&'a Report),
     /// A tick that was due.
     Tick,
     /// The stop.
-    Retired,
+    ShutDown,
     /// New figures, from which windows on the plans' hold, ms, and the document's epoch.
-    Tuned(&'a Settings, f64, u64),
+    SettingsUpdated(&'a Settings, f64, u64),
 }
 
 /// How a request ended for its client.
@@ -309,7 +309,7 @@
         };
         self.attempts.insert(request, 0);
         if let Some(tap) = &mut self.tap {
-            tap.input(now, Input::Taken(request, intake));
+            tap.input(now, Input::Request(request, intake));
         }
         self.tell(now, Event::Request(arrival))
     }
@@ -317,7 +317,7 @@
     /// Tells what happened.
     pub fn report(&mut self, now: f64, report: Report) -> Vec<Verdict> {
         if let Some(tap) = &mut self.tap {
-            tap.input(now, Input::Reported(&report));
+            tap.input(now, Input::Report(&report));
         }
         let event = match report {
             Report::Ended { request, attempt, region, outcome, settled, latency_ms, closed } => {
@@ -349,19 +349,19 @@
                     load,
                 })
             }
-            Report::Left(request) => {
+            Report::ClientLeft(request) => {
                 self.attempts.remove(&request);
                 Event::Abandoned(request.to_string())
             }
-            Report::Counted(name, reply) => match reply {
+            Report::CounterReplied(name, reply) => match reply {
                 CounterReply::Total(total) => Event::CountReply(name, Status::Ok, total),
                 CounterReply::Busy => Event::CountReply(name, Status::QueueFull, 0.0),
                 CounterReply::CouldNotConnect => Event::CountReply(name, Status::ConnectError, 0.0),
                 CounterReply::TimedOut => Event::CountReply(name, Status::TimedOut, 0.0),
                 CounterReply::Late(total) => Event::LateCount(name, Some(total)),
-                CounterReply::Never => Event::LateCount(name, None),
+                CounterReply::Unresolved => Event::LateCount(name, None),
             },
-            Report::Table { table, saved } => {
+            Report::ServiceTable { table, saved } => {
                 let kind = match (saved, table.all) {
                     (true, _) => ListKind::Cached,
                     (false, true) => ListKind::Full,
@@ -397,7 +397,7 @@
     /// [`check`] must have found them good.
     pub fn update_settings(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
         if let Some(tap) = &mut self.tap {
-            tap.input(now, Input::Tuned(&settings, from, epoch));
+            tap.input(now, Input::SettingsUpdated(&settings, from, epoch));
         }
         let mut settings = twinned(settings, self.strict);
         self.changes += 1;
@@ -450,7 +450,7 @@
     /// The program stops: the counter calls that hand unused leases back.
     pub fn shut_down(&mut self, now: f64) -> Vec<Verdict> {
         if let Some(tap) = &mut self.tap {
-            tap.input(now, Input::Retired);
+            tap.input(now, Input::ShutDown);
         }
         let mut actions = std::mem::take(&mut self.actions);
         self.limiter.shut_down(now, &mut actions);
@@ -484,10 +484,12 @@
                     self.attempts.remove(&request);
                     Verdict::Fail(request)
                 }
-                Action::Cancel(id, attempt) => Verdict::GiveUp(key(id), attempt),
-                Action::IncrementCounter(name, amount, life_ms) => Verdict::Count(name, amount, life_ms),
+                Action::Cancel(id, attempt) => Verdict::CancelAttempt(key(id), attempt),
+                Action::IncrementCounter(name, amount, life_ms) => {
+                    Verdict::IncrementCounter(name, amount, life_ms)
+                }
                 Action::CloseIdle(region) => Verdict::CloseIdle(region),
-                Action::Log(text) => Verdict::Note(text),
+                Action::Log(text) => Verdict::Log(text),
                 // The module has one timer, its sweep; an earlier one stands for a later one.
                 Action::Timer(_, after) => {
                     let due = now + after;
@@ -518,7 +520,7 @@
         cell: region.pod_group,
         weight: region.weight,
         started_at_ms: region.boot_ms,
-        distance: region.near,
-        rank: region.order,
+        distance: region.distance,
+        rank: region.rank,
     }
 }
--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -35,15 +35,15 @@
     /// Starts an attempt, to be answered by [`Core::attempt_ended`]; `limit_ms` is the time to wait for it.
     fn route(&mut self, task: &RoutedTask, content: &Self::Content, limit_ms: f64);
     /// Ends one attempt at once, on the wire too, because of this outcome; nothing more may be told of it.
-    fn give_up(&mut self, request: RequestKey, attempt: usize, why: Outcome);
+    fn cancel_attempt(&mut self, request: RequestKey, attempt: usize, why: Outcome);
     /// Gives the final answer.
     fn answer(&mut self, content: Self::Content, answer: Answer<Self::Served>);
     /// Calls the counter, to be answered by [`Core::counter_replied`].
-    fn count(&mut self, name: String, amount: f64, life_ms: f64);
+    fn increment_counter(&mut self, name: String, amount: f64, life_ms: f64);
     /// Closes idle connections to a region.
     fn close_idle(&mut self, region: &str);
     /// Id and idempotency key of a request, for who records them.
-    fn names(_content: &Self::Content) -> (&str, &str) {
+    fn request_names(_content: &Self::Content) -> (&str, &str) {
         ("", "")
     }
     /// Status of a region's answer, for who records it.
@@ -171,7 +171,7 @@
         self.requests.insert(key, request);
         if let Some(tap) = self.facade.tap() {
             let content = self.requests.get(&key).and_then(|entry| entry.content.as_ref());
-            let (id, idempotency) = content.map_or(("", ""), P::names);
+            let (id, idempotency) = content.map_or(("", ""), P::request_names);
             tap.named(id, idempotency);
         }
         let verdicts = self.facade.pick(now, key, &intake);
@@ -206,20 +206,20 @@
         if entry.content.take().is_none() {
             return;
         }
-        let verdicts = self.facade.report(now, Report::Left(request));
+        let verdicts = self.facade.report(now, Report::ClientLeft(request));
         self.tidy(request);
         self.carry_out(now, verdicts);
     }
 
     /// The counter answered.
     pub fn counter_replied(&mut self, now: f64, name: String, reply: CounterReply) {
-        let verdicts = self.facade.report(now, Report::Counted(name, reply));
+        let verdicts = self.facade.report(now, Report::CounterReplied(name, reply));
         self.carry_out(now, verdicts);
     }
 
     /// The service table changed.
     pub fn update_service_table(&mut self, now: f64, table: ServiceTable, saved: bool) {
-        let verdicts = self.facade.report(now, Report::Table { table, saved });
+        let verdicts = self.facade.report(now, Report::ServiceTable { table, saved });
         self.carry_out(now, verdicts);
     }
 
@@ -276,7 +276,7 @@
         };
         if let Some(out) = entry.take_due(now) {
             let closed = entry.content.is_none();
-            self.ports.give_up(key, out.task.attempt, Outcome::TimedOut);
+            self.ports.cancel_attempt(key, out.task.attempt, Outcome::TimedOut);
             self.settle(now, key, out, Outcome::TimedOut, 0.0, closed);
             // Its wake stands until nothing of it is due: another attempt may be.
             return self.rewake(key);
@@ -288,7 +288,7 @@
         if let Some(content) = self.requests.get_mut(&key).and_then(|entry| entry.content.take()) {
             self.ending(now, key, Ending::Failed);
             self.ports.answer(content, Answer::Failed);
-            let verdicts = self.facade.report(now, Report::Left(key));
+            let verdicts = self.facade.report(now, Report::ClientLeft(key));
             self.carry_out(now, verdicts);
         }
         self.forget(key);
@@ -322,16 +322,18 @@
                     Ending::ShortOnCapacity(pause),
                 ),
                 Verdict::Fail(request) => self.answer(now, request, Answer::Failed, Ending::Failed),
-                Verdict::GiveUp(request, attempt) => {
+                Verdict::CancelAttempt(request, attempt) => {
                     let Some(entry) = self.requests.get_mut(&request) else { continue };
                     let Some(out) = entry.take_out(attempt) else { continue };
                     let closed = entry.content.is_none();
-                    self.ports.give_up(request, attempt, Outcome::Canceled);
+                    self.ports.cancel_attempt(request, attempt, Outcome::Canceled);
                     self.settle(now, request, out, Outcome::Canceled, 0.0, closed);
                 }
-                Verdict::Count(name, amount, life_ms) => self.ports.count(name, amount, life_ms),
+                Verdict::IncrementCounter(name, amount, life_ms) => {
+                    self.ports.increment_counter(name, amount, life_ms)
+                }
                 Verdict::CloseIdle(region) => self.ports.close_idle(&region),
-                Verdict::Note(text) => tracing::info!("{text}"),
+                Verdict::Log(text) => tracing::info!("{text}"),
             }
         }
     }
@@ -413,7 +415,7 @@
             self.0.push(format!("route {content} {} {limit_ms:.0}", task.attempt));
         }
 
-        fn give_up(&mut self, request: RequestKey, attempt: usize, why: Outcome) {
+        fn cancel_attempt(&mut self, request: RequestKey, attempt: usize, why: Outcome) {
             self.0.push(format!("give up {request} {attempt} {why:?}"));
         }
 
@@ -426,7 +428,7 @@
             self.0.push(format!("answer {content} {answer}"));
         }
 
-        fn count(&mut self, _: String, _: f64, _: f64) {}
+        fn increment_counter(&mut self, _: String, _: f64, _: f64) {}
 
         fn close_idle(&mut self, _: &str) {}
     }
@@ -461,8 +463,8 @@
             pod_group: 0,
             weight: 1.0,
             boot_ms: 0.0,
-            near: 0,
-            order: 0.0,
+            distance: 0,
+            rank: 0.0,
         };
         let table = ServiceTable { rev: 1, all: true, regions: vec![region("r1"), region("r2")] };
         core.update_service_table(1_000.0, table, true);
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -64,7 +64,7 @@
         assert!(self.out.insert((*key, task.attempt)), "one attempt twice");
     }
 
-    fn give_up(&mut self, request: RequestKey, attempt: usize, _: Outcome) {
+    fn cancel_attempt(&mut self, request: RequestKey, attempt: usize, _: Outcome) {
         assert!(self.out.remove(&(request, attempt)), "given up, but not out");
     }
 
@@ -72,7 +72,7 @@
         *self.answers.entry(key).or_default() += 1;
     }
 
-    fn count(&mut self, name: String, _: f64, _: f64) {
+    fn increment_counter(&mut self, name: String, _: f64, _: f64) {
         self.calls.push(name);
     }
 
@@ -144,8 +144,8 @@
             pod_group: (at / 2) as u64,
             weight: 1.0,
             boot_ms: if pick == at + 11 { self.now } else { 0.0 },
-            near: 0,
-            order: 0.0,
+            distance: 0,
+            rank: 0.0,
         };
         let listed = REGIONS.iter().enumerate().filter(|(at, _)| pick != at + 6);
         let table = ServiceTable { rev: self.rev, all: true, regions: listed.map(entry).collect() };
--- a/crates/edge/src/proxy.rs
+++ b/crates/edge/src/proxy.rs
@@ -97,7 +97,7 @@
         self.sends.insert((task.request, task.attempt), (handle, request.clone()));
     }
 
-    fn give_up(&mut self, key: RequestKey, attempt: usize, why: Outcome) {
+    fn cancel_attempt(&mut self, key: RequestKey, attempt: usize, why: Outcome) {
         let Some((handle, request)) = self.sends.remove(&(key, attempt)) else { return };
         self.context.update_counts(|counts| counts.count_outcome(why));
         let until = request.deadline - ANSWER_MARGIN_MS;
@@ -126,7 +126,7 @@
         request.answer(answer);
     }
 
-    fn count(&mut self, _: String, _: f64, _: f64) {}
+    fn increment_counter(&mut self, _: String, _: f64, _: f64) {}
 
     fn close_idle(&mut self, server: &str) {
         self.context.pool.close_idle(server);
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -59,8 +59,8 @@
         pod_group: 0,
         weight,
         boot_ms: 0.0,
-        near: locality_distance(upstream, here),
-        order: preference::rendezvous_rank(&here.name, &upstream.id, upstream.slots),
+        distance: locality_distance(upstream, here),
+        rank: preference::rendezvous_rank(&here.name, &upstream.id, upstream.slots),
     }
 }
 
@@ -75,8 +75,8 @@
         pod_group: 0,
         weight,
         boot_ms: 0.0,
-        near: u8::MAX,
-        order: 0.0,
+        distance: u8::MAX,
+        rank: 0.0,
     }
 }
 
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -68,7 +68,10 @@
     let mut facade = Facade::new(settings, at as u64, false).expect("good settings");
     let regions =
         own.iter().map(|server| ready_entry(server, &here, weigh(server).expect("allowed"))).collect();
-    facade.report(0.0, Report::Table { table: ServiceTable { rev: 1, all: true, regions }, saved: false });
+    facade.report(
+        0.0,
+        Report::ServiceTable { table: ServiceTable { rev: 1, all: true, regions }, saved: false },
+    );
     facade
 }
 
--- a/crates/gateway/src/change.rs
+++ b/crates/gateway/src/change.rs
@@ -234,7 +234,7 @@
                         CounterReply::Busy | CounterReply::CouldNotConnect => Reply::Nothing,
                         CounterReply::TimedOut => Reply::Unknown,
                         // The machine has gone on from there: it asks again by itself.
-                        CounterReply::Late(_) | CounterReply::Never => continue,
+                        CounterReply::Late(_) | CounterReply::Unresolved => continue,
                     };
                     self.machine.answered(self.wheel.now(), &name, reply);
                 }
--- a/crates/gateway/src/net/counter.rs
+++ b/crates/gateway/src/net/counter.rs
@@ -252,7 +252,7 @@
         for (name, reply) in name.into_iter().zip(reply) {
             let reply = match reply {
                 CounterReply::Total(total) if late => CounterReply::Late(total),
-                _ if late => CounterReply::Never,
+                _ if late => CounterReply::Unresolved,
                 reply => reply,
             };
             (self.done)(name, reply);
@@ -279,7 +279,7 @@
             if !call.late {
                 (self.done)(name.clone(), CounterReply::TimedOut);
             }
-            (self.done)(name, CounterReply::Never);
+            (self.done)(name, CounterReply::Unresolved);
         }
     }
 }
@@ -507,12 +507,14 @@
             let counter = Counter::start(addresses, Rc::new(Cell::new(5_000.0)), wheel.clone(), done);
             for at in 0..3 {
                 counter.call("name".into(), 1.0, 1_000.0);
-                while replies.borrow().iter().filter(|reply| **reply != CounterReply::Never).count() <= at {
+                while replies.borrow().iter().filter(|reply| **reply != CounterReply::Unresolved).count()
+                    <= at
+                {
                     wheel.sleep(5.0).await;
                 }
             }
-            use CounterReply::{Never, TimedOut, Total};
-            assert_eq!(replies.borrow()[..], [Total(5.0), TimedOut, Never, Total(5.0)]);
+            use CounterReply::{TimedOut, Total, Unresolved};
+            assert_eq!(replies.borrow()[..], [Total(5.0), TimedOut, Unresolved, Total(5.0)]);
         });
     }
 
@@ -542,7 +544,7 @@
             let replies: Rc<RefCell<Vec<CounterReply>>> = Rc::default();
             let (told, (_moves, addresses)) = (replies.clone(), watch::channel(Some(address)));
             let done = Rc::new(move |_, reply| {
-                if reply != CounterReply::Never {
+                if reply != CounterReply::Unresolved {
                     told.borrow_mut().push(reply);
                 }
             });
--- a/crates/gateway/src/net/hub.rs
+++ b/crates/gateway/src/net/hub.rs
@@ -76,7 +76,7 @@
         self.out.insert((request, number), (attempt.abort_handle(), region));
     }
 
-    fn give_up(&mut self, request: RequestKey, number: usize, why: Outcome) {
+    fn cancel_attempt(&mut self, request: RequestKey, number: usize, why: Outcome) {
         // The task ends at its next turn, before anything else can be sent for this request: its connection
         // is closed with it.
         if let Some((attempt, region)) = self.out.remove(&(request, number)) {
@@ -96,7 +96,7 @@
         let _ = exchange.reply.send(answer);
     }
 
-    fn count(&mut self, name: String, amount: f64, life_ms: f64) {
+    fn increment_counter(&mut self, name: String, amount: f64, life_ms: f64) {
         self.counter.call(name, amount, life_ms);
     }
 
@@ -104,7 +104,7 @@
         self.regions.close_idle(region);
     }
 
-    fn names(exchange: &Exchange) -> (&str, &str) {
+    fn request_names(exchange: &Exchange) -> (&str, &str) {
         let head = &exchange.request.headers;
         (head.get("request-id").unwrap_or_default(), head.get("idempotency-key").unwrap_or_default())
     }
--- a/crates/gateway/src/net/service_table.rs
+++ b/crates/gateway/src/net/service_table.rs
@@ -68,8 +68,8 @@
         pod_group: fine(raw.pod_group, 0.0).max(0.0) as u64,
         weight: fine(raw.capacity_hint, 1.0),
         boot_ms: fine(raw.boot_ms, 0.0),
-        near: 0,
-        order: 0.0,
+        distance: 0,
+        rank: 0.0,
     })
 }
 
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -109,11 +109,11 @@
 
     fn input(&mut self, now: f64, input: Input<'_>) {
         let event = match input {
-            Input::Taken(request, intake) => {
+            Input::Request(request, intake) => {
                 let (id, key) = std::mem::take(&mut self.named);
                 Event::Taken { request, id, key, intake: intake.clone() }
             }
-            Input::Reported(Report::Ended {
+            Input::Report(Report::Ended {
                 request,
                 attempt,
                 region,
@@ -130,14 +130,14 @@
                 latency_ms: *latency_ms,
                 closed: *closed,
             },
-            Input::Reported(Report::Left(request)) => Event::Left(*request),
-            Input::Reported(Report::Counted(name, reply)) => Event::Counted(name.clone(), *reply),
-            Input::Reported(Report::Table { table, saved }) => {
+            Input::Report(Report::ClientLeft(request)) => Event::Left(*request),
+            Input::Report(Report::CounterReplied(name, reply)) => Event::Counted(name.clone(), *reply),
+            Input::Report(Report::ServiceTable { table, saved }) => {
                 Event::Table { table: table.clone(), saved: *saved }
             }
             Input::Tick => Event::Tick,
-            Input::Retired => Event::Retired,
-            Input::Tuned(settings, from, epoch) => {
+            Input::ShutDown => Event::Retired,
+            Input::SettingsUpdated(settings, from, epoch) => {
                 Event::Tuned { epoch, settings: settings_to_pairs(settings), from }
             }
         };
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -358,7 +358,7 @@
         let (inbox, tally) = (inbox.clone(), tally.clone());
         Rc::new(move |name: String, reply| {
             if let Some(tally) = &tally {
-                let late = matches!(reply, CounterReply::Late(_) | CounterReply::Never);
+                let late = matches!(reply, CounterReply::Late(_) | CounterReply::Unresolved);
                 if !late {
                     tally.counted(clock.now(), matches!(reply, CounterReply::Total(_)));
                 }
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -258,7 +258,7 @@
                         to.push(4);
                         to.real(*total);
                     }
-                    CounterReply::Never => to.push(5),
+                    CounterReply::Unresolved => to.push(5),
                 }
             }
             Event::Table { table, saved } => {
@@ -275,15 +275,15 @@
                         RegionState::Gone => 2,
                     };
                     // The nearest say no more than files of before there was anything else.
-                    to.push(state | u8::from(entry.near > 0) << 2 | u8::from(entry.order != 0.0) << 3);
-                    if entry.near > 0 {
-                        to.push(entry.near);
+                    to.push(state | u8::from(entry.distance > 0) << 2 | u8::from(entry.rank != 0.0) << 3);
+                    if entry.distance > 0 {
+                        to.push(entry.distance);
                     }
                     to.whole(entry.pod_group);
                     to.real(entry.weight);
                     to.real(entry.boot_ms);
-                    if entry.order != 0.0 {
-                        to.real(entry.order);
+                    if entry.rank != 0.0 {
+                        to.real(entry.rank);
                     }
                 }
             }
@@ -378,7 +378,7 @@
                     2 => CounterReply::CouldNotConnect,
                     3 => CounterReply::TimedOut,
                     4 => CounterReply::Late(from.real()?),
-                    5 => CounterReply::Never,
+                    5 => CounterReply::Unresolved,
                     _ => return None,
                 };
                 Event::Counted(name, reply)
@@ -408,8 +408,8 @@
                         pod_group,
                         weight,
                         boot_ms,
-                        near,
-                        order,
+                        distance: near,
+                        rank: order,
                     });
                 }
                 let table = ServiceTable { rev, all: flags & 2 != 0, regions };
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -98,9 +98,9 @@
                 now,
                 Report::Ended { request, attempt, region, outcome, settled, latency_ms, closed },
             ),
-            Event::Left(request) => facade.report(now, Report::Left(request)),
-            Event::Counted(name, reply) => facade.report(now, Report::Counted(name, reply)),
-            Event::Table { table, saved } => facade.report(now, Report::Table { table, saved }),
+            Event::Left(request) => facade.report(now, Report::ClientLeft(request)),
+            Event::Counted(name, reply) => facade.report(now, Report::CounterReplied(name, reply)),
+            Event::Table { table, saved } => facade.report(now, Report::ServiceTable { table, saved }),
             Event::Tick => facade.tick(now),
             Event::Retired => facade.shut_down(now),
             Event::Tuned { settings: pairs, from, epoch } => {
@@ -138,9 +138,9 @@
         Verdict::Route(task) => Event::Route(task),
         Verdict::ShortOnCapacity(request, pause) => Event::Short(request, pause),
         Verdict::Fail(request) => Event::Fail(request),
-        Verdict::GiveUp(request, attempt) => Event::GiveUp(request, attempt),
-        Verdict::Count(name, amount, life) => Event::Count(name, amount, life),
+        Verdict::CancelAttempt(request, attempt) => Event::GiveUp(request, attempt),
+        Verdict::IncrementCounter(name, amount, life) => Event::Count(name, amount, life),
         Verdict::CloseIdle(region) => Event::CloseIdle(region),
-        Verdict::Note(text) => Event::Note(text),
+        Verdict::Log(text) => Event::Note(text),
     }
 }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -143,7 +143,7 @@
                     CounterReply::CouldNotConnect => 2,
                     CounterReply::TimedOut => 3,
                     CounterReply::Late(_) => 4,
-                    CounterReply::Never => return,
+                    CounterReply::Unresolved => return,
                 };
                 self.replies[at] += 1;
             }
--- a/crates/trace/tests/worlds/mod.rs
+++ b/crates/trace/tests/worlds/mod.rs
@@ -108,13 +108,13 @@
                     };
                     self.later(latency_ms, ended);
                 }
-                Verdict::Count(name, amount, _) => {
+                Verdict::IncrementCounter(name, amount, _) => {
                     let lost = self.dice.f64() < 0.05;
                     let total = self.totals.entry(name.clone()).or_default();
                     *total += amount;
                     let total = *total;
                     let reply = if lost { CounterReply::TimedOut } else { CounterReply::Total(total) };
-                    self.later(if lost { 30.0 } else { 1.5 }, Report::Counted(name, reply));
+                    self.later(if lost { 30.0 } else { 1.5 }, Report::CounterReplied(name, reply));
                 }
                 Verdict::ShortOnCapacity(request, pause) => {
                     self.trace.push((self.time, Event::Answered(request, Ending::ShortOnCapacity(pause))));
@@ -133,9 +133,9 @@
             Report::Ended { request, attempt, region, outcome, settled, latency_ms, closed } => {
                 Event::Ended { request, attempt, region, outcome, settled, latency_ms, closed }
             }
-            Report::Left(request) => Event::Left(request),
-            Report::Counted(name, reply) => Event::Counted(name, reply),
-            Report::Table { table, saved } => Event::Table { table, saved },
+            Report::ClientLeft(request) => Event::Left(request),
+            Report::CounterReplied(name, reply) => Event::Counted(name, reply),
+            Report::ServiceTable { table, saved } => Event::Table { table, saved },
         };
         let answered = match &event {
             Event::Ended { request, closed: true, .. } => {
@@ -166,11 +166,11 @@
         pod_group: at / 4,
         weight: 1.0,
         boot_ms: 0.0,
-        near: (at / 4) as u8,
-        order: (at % 3) as f64,
+        distance: (at / 4) as u8,
+        rank: (at % 3) as f64,
     };
     let regions = (0..8).map(|at| region(at, RegionState::Ready)).collect();
-    world.report(Report::Table { table: ServiceTable { rev: 1, all: true, regions }, saved: true });
+    world.report(Report::ServiceTable { table: ServiceTable { rev: 1, all: true, regions }, saved: true });
     for request in 1..=requests {
         let step = (-(1.0 - world.dice.f64()).ln() * 16.0 * TICKS_PER_MS) as i64;
         let until = world.time + step;
@@ -196,7 +196,7 @@
             let at = world.dice.u64(0..8);
             let state = if world.dice.bool() { RegionState::Ready } else { RegionState::Terminating };
             let table = ServiceTable { rev: request, all: false, regions: vec![region(at, state)] };
-            world.report(Report::Table { table, saved: false });
+            world.report(Report::ServiceTable { table, saved: false });
         }
         let class = ["safe", "keyed", "once"][world.dice.usize(0..3)];
         let intake = Intake {
