--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -13,7 +13,7 @@
 pub type RequestKey = u64;
 
 /// What the module needs to know of a request.
-#[derive(Debug, Clone, PartialEq)]
+#[derive(Clone, PartialEq)]
 pub struct Intake {
     /// Class, by the name in the settings.
     pub class: String,
@@ -47,7 +47,7 @@
 }
 
 /// How a routed task ended.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// A good answer.
     Served,
@@ -70,7 +70,7 @@
 }
 
 /// The counter's answer to one call.
-#[derive(Debug, Clone, Copy, PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 pub enum CounterReply {
     /// The total after the call.
     Total(f64),
@@ -98,7 +98,7 @@
 }
 
 /// One line of the service table.
-#[derive(Debug, Clone, PartialEq)]
+#[derive(Clone, PartialEq)]
 pub struct RegionEntry {
     /// Its id, the same at every gateway.
     pub uid: String,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,6 +3,7 @@
 //! socket or a clock; the manifest has nothing that could bring one in.
 
 pub mod classes;
+mod debug_text;
 pub mod facade;
 pub mod ledger;
 pub mod life;
--- a/crates/gateway/src/net/hub.rs
+++ b/crates/gateway/src/net/hub.rs
@@ -116,7 +116,7 @@
 
 impl Swap for Core<World> {
     fn retune(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
-        Core::retune(self, now, settings, from, epoch);
+        Core::update_settings(self, now, settings, from, epoch);
     }
 
     fn record(&mut self, tap: Option<Box<dyn Tap>>) {
--- a/crates/gateway/src/net/inbox.rs
+++ b/crates/gateway/src/net/inbox.rs
@@ -46,7 +46,7 @@
 
 /// What can be exchanged between two turns. None of it can fail.
 pub trait Swap {
-    /// New figures; see [`nickeljunction_core::facade::Facade::retune`].
+    /// New figures; see [`nickeljunction_core::facade::Facade::update_settings`].
     fn retune(&mut self, now: f64, settings: Settings, from: f64, epoch: u64);
     /// New time-outs of connections to regions, ms: to come up, and until regions close idle ones.
     fn retime(&mut self, connect_ms: f64, idle_ms: f64);
