--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -1,6 +1,6 @@
-//! The decision module in blocking style: ask with [`Facade::pick`], tell with [`Facade::report`], let time
-//! pass with [`Facade::tick`]. Each call returns what is decided by then, also for other requests. The
-//! module's events and actions stay in here.
+//! A synchronous interface to the decision module: [`Facade::pick`] submits a request, [`Facade::report`] passes
+//! on an event, and [`Facade::tick`] advances time. Each call returns all decisions made so far, including those
+//! on other requests. The module's own events and actions are not visible outside this file.
 
 use crate::ledger::CountOwner;
 use nickeljunction_decide::api::{self, Action, Event, ListKind, ServerEntry, ServerState, Status};
@@ -12,12 +12,12 @@
 /// Number of a request within this process, never reused.
 pub type RequestKey = u64;
 
-/// What the module needs to know of a request.
+/// The properties of a request that decisions depend on.
 #[derive(Clone, PartialEq)]
 pub struct Intake {
     /// Class, by the name in the settings.
     pub class: String,
-    /// Handle it as never to be run twice, whatever its class permits.
+    /// The request must never run twice, even if its class permits it.
     pub never_twice: bool,
     /// Plan, by the name in the settings.
     pub plan: String,
@@ -25,11 +25,11 @@
     pub customer: u64,
     /// How long the client waits, ms.
     pub timeout_ms: f64,
-    /// Guessed units.
+    /// Estimated units.
     pub units: f64,
-    /// Through how many gateways this franchisee's requests come in.
+    /// Number of gateways that receive this franchisee's requests.
     pub gateways: usize,
-    /// The client marked it as a retry.
+    /// The client marked the request as a retry.
     pub retry: bool,
 }
 
@@ -42,7 +42,7 @@
     pub attempt: usize,
     /// The region, by its uid.
     pub region: String,
-    /// How long to wait at most, ms; 0: until the client gives up.
+    /// Time-out of the attempt, ms; 0: until the client's deadline.
     pub limit_ms: f64,
 }
 
@@ -53,19 +53,19 @@
     Served,
     /// The region failed; the request may have run.
     Error,
-    /// Turned away unseen: it never ran.
+    /// The region rejected the request without processing it: it never ran.
     Rejected,
-    /// The request was never wholly written: it never ran.
+    /// The request was not completely written: it never ran.
     CouldNotConnect,
     /// The connection broke after the request's last byte: it may have run.
     Reset,
-    /// The answer can't be read: it has run, for all this side can tell.
+    /// The answer is unreadable: the request counts as having run.
     Unreadable,
     /// Not answered in time: it may have run.
     TimedOut,
-    /// Called off because the request was answered otherwise: it may have run, and that tells nothing of the region.
+    /// Canceled because the request was answered otherwise: it may have run. Says nothing about the region's health.
     Canceled,
-    /// Never sent, since the request or its time had ended meanwhile: it never ran.
+    /// Not sent, because the request had ended or its deadline had passed: it never ran.
     NotSent,
 }
 
@@ -74,24 +74,24 @@
 pub enum CounterReply {
     /// The total after the call.
     Total(f64),
-    /// Turned away: nothing was added.
+    /// The call was rejected: nothing was added.
     Busy,
-    /// The call was never wholly written: nothing was added.
+    /// The call was not completely written: nothing was added.
     CouldNotConnect,
     /// No answer in time: it may have been added.
     TimedOut,
-    /// After it had timed out: it was added, and this is the total after the call.
+    /// A reply that came after the time-out: the amount was added, and this is the total after the call.
     Late(f64),
-    /// After it had timed out: no more will be known of it.
+    /// The call timed out, and no reply will follow: it stays unknown whether the amount was added.
     Unresolved,
 }
 
-/// State of a region as the service table tells it.
+/// State of a region according to the service table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegionState {
-    /// Takes work.
+    /// Accepts new requests.
     Ready,
-    /// Completes what it has.
+    /// Completes its open requests and accepts no new ones.
     Terminating,
     /// Removed.
     Gone,
@@ -110,13 +110,13 @@
     pub zone: String,
     /// Its pod group.
     pub pod_group: u64,
-    /// Its stated size.
+    /// Its configured capacity weight.
     pub weight: f64,
     /// When it last started, Unix ms; 0: long ago.
     pub boot_ms: f64,
-    /// How near it is to this gateway, 0 for the nearest: nearer ones are chosen first.
+    /// Distance from this gateway, 0 for the nearest: nearer regions are chosen first.
     pub distance: u8,
-    /// Its place among equally near ones in this gateway's own order, lower ones first.
+    /// Rank among regions at the same distance, specific to this gateway: lower ones are chosen first.
     pub rank: f64,
 }
 
@@ -125,13 +125,13 @@
 pub struct ServiceTable {
     /// Version.
     pub rev: u64,
-    /// Complete rather than changed lines only.
+    /// The table is complete; otherwise it contains only the changed lines.
     pub all: bool,
     /// The lines.
     pub regions: Vec<RegionEntry>,
 }
 
-/// What the network tells the module.
+/// An event that the caller reports to the decision module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Report {
     /// A routed task ended.
@@ -144,89 +144,89 @@
         region: String,
         /// How it ended.
         outcome: Outcome,
-        /// True units, where the answer told them; else 0.
+        /// Actual units, if the answer states them; otherwise 0.
         settled: f64,
         /// Time since it was routed, ms.
         latency_ms: f64,
-        /// The request has had its final answer, or has it with this.
+        /// The request has its final answer, or gets it with this attempt.
         closed: bool,
     },
-    /// The client left, or the program has answered for the module.
+    /// The client left, or the core answered the request without a decision of the module.
     ClientLeft(RequestKey),
     /// The counter answered a call on this name.
     CounterReplied(String, CounterReply),
-    /// The service table changed; `saved`: it is the list of before the start.
+    /// The service table changed.
     ServiceTable {
         /// The change.
         table: ServiceTable,
-        /// It may be old.
+        /// The table was saved before the last start and may be out of date.
         saved: bool,
     },
 }
 
-/// What is decided.
+/// A decision of the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// Send an attempt.
     Route(RoutedTask),
-    /// Final: refused, come back after so many ms (0: not told).
+    /// Final: refused for lack of capacity; retry after this time, ms (0: not stated).
     ShortOnCapacity(RequestKey, f64),
     /// Final: failed.
     Fail(RequestKey),
-    /// Give up an attempt.
+    /// Cancel an attempt.
     CancelAttempt(RequestKey, usize),
-    /// Call the counter: name, amount, life of a new name in ms.
+    /// Call the counter: name, amount, time to live of a new name in ms.
     IncrementCounter(String, f64, f64),
     /// Close idle connections to a region.
     CloseIdle(String),
-    /// A line for the operators.
+    /// A line for the operators' log.
     Log(String),
 }
 
-/// The class that stands in for `class` where a request must not run twice.
-fn never_twice(class: &str) -> String {
+/// Name of the variant of `class` for requests that must not run twice.
+fn at_most_once_name(class: &str) -> String {
     format!("{class}#once")
 }
 
-/// Odds of admission under which the module is said to shed work.
-const SHEDS_UNDER: f64 = 0.9;
+/// Admission probability below which the module counts as shedding load.
+const SHEDDING_THRESHOLD: f64 = 0.9;
 
-/// Adds a never-twice twin of every class that may run again, if `strict`.
-fn twinned(mut settings: Settings, strict: bool) -> Settings {
+/// If `strict`, adds an at-most-once variant of every class that permits repeats.
+fn with_at_most_once_classes(mut settings: Settings, strict: bool) -> Settings {
     if strict {
-        let twins: Vec<Class> = (settings.classes.iter())
+        let variants: Vec<Class> = (settings.classes.iter())
             .filter(|class| class.retry_safety != RetrySafety::AtMostOnce)
             .map(|class| Class {
-                name: never_twice(&class.name),
+                name: at_most_once_name(&class.name),
                 retry_safety: RetrySafety::AtMostOnce,
                 ..class.clone()
             })
             .collect();
-        settings.classes.extend(twins);
+        settings.classes.extend(variants);
     }
     settings
 }
 
-/// The module's own check of settings.
+/// Checks settings as the decision module does.
 ///
 /// # Errors
-/// The key that no module can work with.
+/// Names the invalid setting.
 pub fn check(settings: &Settings) -> Result<(), InvalidSettings> {
     Limiter::new(settings.clone(), 0).map(drop)
 }
 
-/// What goes into the module.
+/// A call to the decision module, as a [`Tap`] sees it.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A request.
+    /// A new request.
     Request(RequestKey, &'a Intake),
     /// A report.
     Report(&'a Report),
     /// A tick that was due.
     Tick,
-    /// The stop.
+    /// The program stops.
     ShutDown,
-    /// New figures, from which windows on the plans' hold, ms, and the document's epoch.
+    /// New settings; the start of the first quota window that uses the new plan settings, ms; the document's epoch.
     SettingsUpdated(&'a Settings, f64, u64),
 }
 
@@ -235,66 +235,67 @@
 pub enum Ending {
     /// A region's answer, with its status.
     Served(u16),
-    /// Refused; come back after so many ms (0: not told).
+    /// Refused for lack of capacity; retry after this time, ms (0: not stated).
     ShortOnCapacity(f64),
     /// Failed.
     Failed,
 }
 
-/// Sees all that goes into the module and comes out of it, in order. Must not wait for anything.
+/// Observes all inputs and verdicts of the decision module in order. Its methods must not block.
 pub trait Tap: std::fmt::Debug {
-    /// Id and key of the request that is told next.
+    /// Id and idempotency key of the request in the next [`Input::Request`].
     fn named(&mut self, id: &str, key: &str);
-    /// Something goes in.
+    /// An input is passed to the module.
     fn input(&mut self, now: f64, input: Input<'_>);
-    /// A verdict came out.
+    /// The module returned a verdict.
     fn verdict(&mut self, now: f64, verdict: &Verdict);
     /// A client has its final answer.
     fn answered(&mut self, now: f64, request: RequestKey, ending: Ending);
 }
 
-/// The decision module behind three calls.
+/// The synchronous interface to the decision module.
 #[derive(Debug)]
 pub struct Facade {
     limiter: Limiter,
     tap: Option<Box<dyn Tap>>,
     strict: bool,
-    /// The classes as the module has them, retired ones among them: see [`crate::classes`].
+    /// The module's classes, including retired ones: see [`crate::classes`].
     classes: Vec<Class>,
-    /// Changes of settings so far.
+    /// Number of settings changes since the start.
     changes: u64,
-    attempts: BTreeMap<RequestKey, usize>,
-    units_top: f64,
+    /// Number of each open request's next attempt.
+    next_attempts: BTreeMap<RequestKey, usize>,
+    max_units: f64,
     wake: Option<f64>,
     actions: Vec<Action>,
 }
 
 impl Facade {
-    /// A module with these settings. `strict` adds a never-twice twin of every class that may run again,
-    /// for requests with [`Intake::never_twice`]; it is off where no front asks for it.
+    /// Creates a module with these settings. `strict` adds an at-most-once variant of every class that permits
+    /// repeats, for requests with [`Intake::never_twice`]; it is off where no front end needs it.
     pub fn new(settings: Settings, seed: u64, strict: bool) -> Result<Facade, InvalidSettings> {
-        let settings = twinned(settings, strict);
-        let units_top = settings.max_request_units.max(1.0);
+        let settings = with_at_most_once_classes(settings, strict);
+        let max_units = settings.max_request_units.max(1.0);
         let (classes, changes) = (settings.classes.clone(), 0);
         let limiter = Limiter::new(settings, seed)?;
-        let (attempts, wake, actions) = (BTreeMap::new(), None, Vec::new());
-        Ok(Facade { limiter, tap: None, strict, units_top, attempts, wake, actions, classes, changes })
+        let (next_attempts, wake, actions) = (BTreeMap::new(), None, Vec::new());
+        Ok(Facade { limiter, tap: None, strict, max_units, next_attempts, wake, actions, classes, changes })
     }
 
-    /// Sets or takes away who sees what goes in and out. `None` costs nothing.
+    /// Sets or removes the tap. `None` costs nothing.
     pub fn set_tap(&mut self, tap: Option<Box<dyn Tap>>) {
         self.tap = tap;
     }
 
-    /// Who sees what goes in and out.
+    /// The tap, if one is set.
     pub fn tap(&mut self) -> Option<&mut (dyn Tap + 'static)> {
         self.tap.as_deref_mut()
     }
 
-    /// Asks what to do with a new request. Without a verdict on it the request is held.
+    /// Submits a new request. If no verdict on it is returned, the module holds the request.
     pub fn pick(&mut self, now: f64, request: RequestKey, intake: &Intake) -> Vec<Verdict> {
         let class = match intake.never_twice {
-            true => never_twice(&intake.class),
+            true => at_most_once_name(&intake.class),
             false => intake.class.clone(),
         };
         let arrival = api::Arrival {
@@ -307,14 +308,14 @@
             gateways: intake.gateways,
             retry: intake.retry,
         };
-        self.attempts.insert(request, 0);
+        self.next_attempts.insert(request, 0);
         if let Some(tap) = &mut self.tap {
             tap.input(now, Input::Request(request, intake));
         }
-        self.tell(now, Event::Request(arrival))
+        self.handle(now, Event::Request(arrival))
     }
 
-    /// Tells what happened.
+    /// Passes an event on to the module.
     pub fn report(&mut self, now: f64, report: Report) -> Vec<Verdict> {
         if let Some(tap) = &mut self.tap {
             tap.input(now, Input::Report(&report));
@@ -322,7 +323,7 @@
         let event = match report {
             Report::Ended { request, attempt, region, outcome, settled, latency_ms, closed } => {
                 if closed {
-                    self.attempts.remove(&request);
+                    self.next_attempts.remove(&request);
                 }
                 let status = match outcome {
                     Outcome::Served => Status::Ok,
@@ -335,8 +336,8 @@
                     Outcome::Canceled => Status::Canceled,
                     Outcome::NotSent => Status::NotSent,
                 };
-                // A figure on use that can't be true says nothing; believed, it would empty a quota.
-                let settled = if settled <= self.units_top { settled } else { 0.0 };
+                // An impossible number of units is ignored: charging it would use up a whole quota.
+                let settled = if settled <= self.max_units { settled } else { 0.0 };
                 let (id, load) = (request.to_string(), BTreeMap::new());
                 Event::Outcome(api::Outcome {
                     id,
@@ -350,7 +351,7 @@
                 })
             }
             Report::ClientLeft(request) => {
-                self.attempts.remove(&request);
+                self.next_attempts.remove(&request);
                 Event::Abandoned(request.to_string())
             }
             Report::CounterReplied(name, reply) => match reply {
@@ -370,10 +371,10 @@
                 Event::Servers(kind, table.regions.into_iter().map(entry).collect())
             }
         };
-        self.tell(now, event)
+        self.handle(now, event)
     }
 
-    /// Lets time pass; worth calling from [`Facade::next_tick`] on.
+    /// Advances time. Has no effect before [`Facade::next_tick`].
     pub fn tick(&mut self, now: f64) -> Vec<Verdict> {
         match self.wake.filter(|wake| now >= *wake) {
             None => Vec::new(),
@@ -382,33 +383,33 @@
                 if let Some(tap) = &mut self.tap {
                     tap.input(now, Input::Tick);
                 }
-                self.tell(now, Event::Timer("sweep".into()))
+                self.handle(now, Event::Timer("sweep".into()))
             }
         }
     }
 
-    /// When the module wants the next tick, ms.
+    /// Time at which the module needs the next tick, ms.
     pub fn next_tick(&self) -> Option<f64> {
         self.wake
     }
 
-    /// Takes new figures: those of plans for windows that begin at `from` (ms) or later, the others at once. Must
-    /// name the classes and plans of before in their order; new plans come last.
-    /// [`check`] must have found them good.
+    /// Applies new settings: those of plans to windows that begin at `from` (ms) or later, the others at once.
+    /// They must list the previous classes and plans in the same order, with new plans last, and must have
+    /// passed [`check`].
     pub fn update_settings(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
         if let Some(tap) = &mut self.tap {
             tap.input(now, Input::SettingsUpdated(&settings, from, epoch));
         }
-        let mut settings = twinned(settings, self.strict);
+        let mut settings = with_at_most_once_classes(settings, self.strict);
         self.changes += 1;
-        settings.classes = crate::classes::carry(&self.classes, settings.classes, self.changes);
+        settings.classes = crate::classes::merge(&self.classes, settings.classes, self.changes);
         self.classes.clone_from(&settings.classes);
-        self.units_top = settings.max_request_units.max(1.0);
+        self.max_units = settings.max_request_units.max(1.0);
         self.limiter.update_settings(settings, from);
     }
 
-    /// The module's counts of attempts out.
-    pub(crate) fn believed(&self) -> BTreeMap<CountOwner, usize> {
+    /// The module's counts of attempts in flight.
+    pub(crate) fn attempt_counts(&self) -> BTreeMap<CountOwner, usize> {
         let regions =
             self.limiter.attempts_by_server().map(|(uid, out)| (CountOwner::Region(uid.to_string()), out));
         let customers =
@@ -416,38 +417,38 @@
         regions.chain(customers).collect()
     }
 
-    /// Attempts that the module believes to be out: request, number, region.
-    pub(crate) fn believed_out(&self) -> Vec<(RequestKey, usize, String)> {
+    /// Attempts that the module counts as in flight: request, number, region.
+    pub(crate) fn attempts_in_flight(&self) -> Vec<(RequestKey, usize, String)> {
         let key = |id: &str| id.parse().expect("ids are made from keys");
         self.limiter.open_attempts().map(|(id, attempt, uid)| (key(id), attempt, uid.to_string())).collect()
     }
 
-    /// Puts one of the module's counts right.
-    pub(crate) fn put_right(&mut self, owner: &CountOwner, out: usize) {
+    /// Corrects one of the module's counts.
+    pub(crate) fn correct_count(&mut self, owner: &CountOwner, out: usize) {
         match owner {
             CountOwner::Region(uid) => self.limiter.set_attempts_at_server(uid, out),
             CountOwner::Franchisee(number) => self.limiter.set_attempts_of_customer(*number, out),
         }
     }
 
-    /// The settings allow two attempts of a request to be out at once.
+    /// Whether the settings allow two attempts of a request in flight at once.
     pub fn hedging_enabled(&self) -> bool {
         self.limiter.hedging()
     }
 
-    /// A request such as this may have two attempts out where the settings allow it: it repeats safely, or by key.
+    /// Whether hedging is enabled and this request may be hedged: its class repeats safely or by key.
     pub fn copies(&self, intake: &Intake) -> bool {
         let repeats =
             |class: &Class| class.name == intake.class && class.retry_safety != RetrySafety::AtMostOnce;
         self.hedging_enabled() && !intake.never_twice && self.classes.iter().any(repeats)
     }
 
-    /// The module thinks the fleet short and sheds some of the work.
+    /// Whether the module sheds load because the fleet lacks capacity.
     pub fn is_shedding(&self) -> bool {
-        self.limiter.admission_probability() < SHEDS_UNDER
+        self.limiter.admission_probability() < SHEDDING_THRESHOLD
     }
 
-    /// The program stops: the counter calls that hand unused leases back.
+    /// Stops the module. Returns the counter calls that hand unused leases back.
     pub fn shut_down(&mut self, now: f64) -> Vec<Verdict> {
         if let Some(tap) = &mut self.tap {
             tap.input(now, Input::ShutDown);
@@ -457,7 +458,7 @@
         self.verdicts(now, actions)
     }
 
-    fn tell(&mut self, now: f64, event: Event) -> Vec<Verdict> {
+    fn handle(&mut self, now: f64, event: Event) -> Vec<Verdict> {
         let mut actions = std::mem::take(&mut self.actions);
         self.limiter.on_event(now, event, &mut actions);
         self.verdicts(now, actions)
@@ -470,18 +471,18 @@
             verdicts.push(match action {
                 Action::Send(id, region, limit_ms) => {
                     let request = key(id);
-                    let next = self.attempts.entry(request).or_default();
+                    let next = self.next_attempts.entry(request).or_default();
                     let attempt = std::mem::replace(next, *next + 1);
                     Verdict::Route(RoutedTask { request, attempt, region, limit_ms })
                 }
                 Action::Refuse(id, pause) => {
                     let request = key(id);
-                    self.attempts.remove(&request);
+                    self.next_attempts.remove(&request);
                     Verdict::ShortOnCapacity(request, pause)
                 }
                 Action::Fail(id) => {
                     let request = key(id);
-                    self.attempts.remove(&request);
+                    self.next_attempts.remove(&request);
                     Verdict::Fail(request)
                 }
                 Action::Cancel(id, attempt) => Verdict::CancelAttempt(key(id), attempt),
@@ -490,13 +491,13 @@
                 }
                 Action::CloseIdle(region) => Verdict::CloseIdle(region),
                 Action::Log(text) => Verdict::Log(text),
-                // The module has one timer, its sweep; an earlier one stands for a later one.
+                // The module has a single timer, its sweep; only the earliest due time is kept.
                 Action::Timer(_, after) => {
                     let due = now + after;
                     self.wake = Some(self.wake.map_or(due, |wake| wake.min(due)));
                     continue;
                 }
-                // The module probes nothing, and the watch is the service table's own affair.
+                // The module is not used for probes, and the service table has its own watch.
                 Action::Probe(_) | Action::SubscribeServers | Action::FetchServers => continue,
             });
         }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -1,41 +1,43 @@
-//! The check of two books: the attempts that the core has out against those that the module believes to be out. They are
-//! equal between any two calls, or an end was not told: then servers look silent that are not, and are used no more.
+//! Compares the core's counts of attempts in flight with the decision module's. Between any two calls they are
+//! equal, unless the end of an attempt was not reported. The module then takes healthy servers for silent ones
+//! and stops using them.
 
 use std::collections::BTreeMap;
 
-/// Of whom two counts differ.
+/// The region or franchisee whose attempts are counted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CountOwner {
-    /// Of a region, by its uid.
+    /// A region, by its uid.
     Region(String),
-    /// Of a franchisee.
+    /// A franchisee, by its number.
     Franchisee(u64),
 }
 
-/// Two counts of attempts out that should be equal.
+/// Two counts of attempts in flight that should be equal but differ.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
-    /// Of whom.
+    /// The region or franchisee.
     pub owner: CountOwner,
-    /// What the core has out.
+    /// Attempts in flight according to the core.
     pub out: usize,
-    /// What the module believed.
+    /// Attempts in flight according to the decision module.
     pub believed: usize,
 }
 
-/// The counts that differ; what is in one book alone counts as 0 in the other.
+/// Returns the counts that differ. An owner that is missing on one side counts as 0 there.
 pub(crate) fn differences(
     out: &BTreeMap<CountOwner, usize>,
     believed: &BTreeMap<CountOwner, usize>,
 ) -> Vec<Difference> {
-    let count =
-        |book: &BTreeMap<CountOwner, usize>, owner: &CountOwner| book.get(owner).copied().unwrap_or_default();
+    let count_of = |counts: &BTreeMap<CountOwner, usize>, owner: &CountOwner| {
+        counts.get(owner).copied().unwrap_or_default()
+    };
     let only_believed = believed.keys().filter(|owner| !out.contains_key(owner));
     (out.keys().chain(only_believed))
         .map(|owner| Difference {
             owner: owner.clone(),
-            out: count(out, owner),
-            believed: count(believed, owner),
+            out: count_of(out, owner),
+            believed: count_of(believed, owner),
         })
         .filter(|difference| difference.out != difference.believed)
         .collect()
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
-//! One request's life over the decision module, without I/O: [`facade`] is the module behind `pick`, `report`
-//! and `tick`, [`life`] keeps each request from its arrival to its one final answer. Neither knows a wire, a
-//! socket or a clock; the manifest has nothing that could bring one in.
+//! The request life cycle on top of the decision module, without I/O. [`facade`] wraps the decision module in
+//! `pick`, `report` and `tick`; [`life`] tracks each request from its arrival to its single final answer.
+//! Neither uses the network or reads a clock, and the crate depends on nothing that would let it.
 
 pub mod classes;
 mod debug_text;
--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -132,11 +132,11 @@
     /// Compares what is out with what the module believes to be out, and heals what differs: ends that were not told
     /// are told, counts that still differ are put right. Returns what differed; always nothing, or there is a fault.
     pub fn audit(&mut self, now: f64) -> Vec<Difference> {
-        let found = differences(&self.out(), &self.facade.believed());
+        let found = differences(&self.out(), &self.facade.attempt_counts());
         if found.is_empty() {
             return found;
         }
-        for (key, attempt, region) in self.facade.believed_out() {
+        for (key, attempt, region) in self.facade.attempts_in_flight() {
             let entry = self.requests.get(&key);
             let known = entry.is_some_and(|entry| entry.out.iter().any(|out| out.task.attempt == attempt));
             if !known {
@@ -146,8 +146,8 @@
                 self.settle(now, key, out, Outcome::Canceled, 0.0, closed);
             }
         }
-        for rest in differences(&self.out(), &self.facade.believed()) {
-            self.facade.put_right(&rest.owner, rest.out);
+        for rest in differences(&self.out(), &self.facade.attempt_counts()) {
+            self.facade.correct_count(&rest.owner, rest.out);
         }
         found
     }
