--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -1,8 +1,8 @@
-//! One request's life: it arrives, attempts go out, and exactly one final answer ends it. More than one attempt is
-//! out only where the settings allow second copies and the request's class repeats safely or by key.
+//! The life cycle of a request: it arrives, attempts are sent, and exactly one final answer ends it. More than one
+//! attempt is in flight only if the settings allow hedging and the request's class repeats safely or by key.
 //!
-//! Sans-IO: the core knows no wire and no HTTP. What it wants done goes through [`Ports`], what happens is
-//! told by its methods, and the time comes with each call.
+//! Sans-IO: the core contains no network code and no HTTP. It acts through [`Ports`], learns of events through
+//! its methods, and gets the time with each call.
 
 use crate::facade::{
     CounterReply, Ending, Facade, Intake, Outcome, Report, RequestKey, RoutedTask, ServiceTable, Settings,
@@ -11,148 +11,152 @@
 use crate::ledger::{differences, CountOwner, Difference};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time before the client's deadline at which a request is answered for good, ms: an answer given at the
-/// deadline itself would reach the client after it.
+/// Time before the client's deadline at which a request gets its final answer at the latest, ms: an answer sent
+/// at the deadline itself would reach the client too late.
 pub const ANSWER_MARGIN_MS: f64 = 20.0;
 
-/// The final answer to a request; `S` is what a region served.
+/// The final answer to a request; `S` is the type of a region's answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer<S> {
     /// A region's good answer.
     Served(S),
-    /// A refusal: trying again is harmless, after so many ms (0: not told).
+    /// Refused for lack of capacity: a retry is safe after this time, ms (0: not stated).
     ShortOnCapacityReply(f64),
-    /// Failed: it may have run.
+    /// Failed: the request may have run.
     Failed,
 }
 
-/// The world as the core needs it. `Content` is what a front took in and travels with the request.
+/// The side effects of the core, implemented by its caller.
 pub trait Ports {
-    /// A request as it came, opaque here.
+    /// A request as the front end received it, opaque to the core.
     type Content;
-    /// A region's good answer, opaque here.
+    /// A region's good answer, opaque to the core.
     type Served;
-    /// Starts an attempt, to be answered by [`Core::attempt_ended`]; `limit_ms` is the time to wait for it.
+    /// Starts an attempt, whose end is reported by [`Core::attempt_ended`]; `limit_ms` is its time-out.
     fn route(&mut self, task: &RoutedTask, content: &Self::Content, limit_ms: f64);
-    /// Ends one attempt at once, on the wire too, because of this outcome; nothing more may be told of it.
+    /// Cancels an attempt immediately, on the network too, for the reason `why`; no end of it may be reported later.
     fn cancel_attempt(&mut self, request: RequestKey, attempt: usize, why: Outcome);
     /// Gives the final answer.
     fn answer(&mut self, content: Self::Content, answer: Answer<Self::Served>);
-    /// Calls the counter, to be answered by [`Core::counter_replied`].
+    /// Calls the counter, whose reply is reported by [`Core::counter_replied`].
     fn increment_counter(&mut self, name: String, amount: f64, life_ms: f64);
     /// Closes idle connections to a region.
     fn close_idle(&mut self, region: &str);
-    /// Id and idempotency key of a request, for who records them.
+    /// Id and idempotency key of a request, for the tap.
     fn request_names(_content: &Self::Content) -> (&str, &str) {
         ("", "")
     }
-    /// Status of a region's answer, for who records it.
+    /// Status of a region's answer, for the tap.
     fn status(_served: &Self::Served) -> u16 {
         200
     }
 }
 
 #[derive(Debug)]
-struct Out {
+struct Attempt {
     task: RoutedTask,
-    sent: f64,
-    until: f64,
+    sent_at: f64,
+    /// When it times out, ms.
+    expires_at: f64,
 }
 
 #[derive(Debug)]
 struct Request<C> {
-    /// `None` once the final answer is given.
+    /// `None` once the request has its final answer or its client has left.
     content: Option<C>,
     deadline: f64,
-    /// Attempts that are out; each ends once towards the module.
-    out: Vec<Out>,
+    /// Attempts in flight; the end of each is reported to the module exactly once.
+    in_flight: Vec<Attempt>,
     franchisee: u64,
-    /// A second attempt may go out beside the first, if the settings still allow it then.
-    copies: bool,
-    /// Where it stands in the order of waking.
+    /// A second attempt may be sent while the first is in flight, if the settings still allow it then.
+    may_hedge: bool,
+    /// Its time in [`Core::wakes`], ms.
     wake: u64,
 }
 
 impl<C> Request<C> {
-    /// Takes an attempt that is out: whoever does tells the module of its end.
-    fn take_out(&mut self, attempt: usize) -> Option<Out> {
-        let at = self.out.iter().position(|out| out.task.attempt == attempt)?;
-        Some(self.out.remove(at))
+    /// Removes an attempt from those in flight; the caller must report its end to the module.
+    fn remove_attempt(&mut self, attempt: usize) -> Option<Attempt> {
+        let index = self.in_flight.iter().position(|other| other.task.attempt == attempt)?;
+        Some(self.in_flight.remove(index))
     }
 
-    /// Takes the first attempt that is out for longer than its bound.
-    fn take_due(&mut self, now: f64) -> Option<Out> {
-        let at = self.out.iter().position(|out| now >= out.until)?;
-        Some(self.out.remove(at))
+    /// Removes the first attempt that has timed out; the caller must report its end to the module.
+    fn remove_expired(&mut self, now: f64) -> Option<Attempt> {
+        let index = self.in_flight.iter().position(|other| now >= other.expires_at)?;
+        Some(self.in_flight.remove(index))
     }
 }
 
-/// All requests that are owed an answer or have an attempt out.
+/// All requests that are unanswered or have an attempt in flight.
 #[derive(Debug)]
 pub struct Core<P: Ports> {
     facade: Facade,
     ports: P,
     requests: BTreeMap<RequestKey, Request<P::Content>>,
+    /// The time at which [`Core::tick`] next looks at each request, ms.
     wakes: BTreeSet<(u64, RequestKey)>,
 }
 
 impl<P: Ports> Core<P> {
-    /// A core over a module and the world.
+    /// Creates a core without requests.
     pub fn new(facade: Facade, ports: P) -> Core<P> {
         Core { facade, ports, requests: BTreeMap::new(), wakes: BTreeSet::new() }
     }
 
-    /// The world.
+    /// The ports given to [`Core::new`].
     pub fn ports(&mut self) -> &mut P {
         &mut self.ports
     }
 
-    /// Requests that are owed an answer.
+    /// Number of requests without a final answer whose client has not left.
     pub fn unanswered(&self) -> usize {
         self.requests.values().filter(|request| request.content.is_some()).count()
     }
 
-    /// Attempts that are out, by this core's own book.
+    /// Number of attempts in flight, as the core counts them.
     pub fn open(&self) -> usize {
-        self.requests.values().map(|request| request.out.len()).sum()
+        self.requests.values().map(|request| request.in_flight.len()).sum()
     }
 
-    /// The core's counts of attempts out, by region and franchisee.
-    fn out(&self) -> BTreeMap<CountOwner, usize> {
+    /// The core's counts of attempts in flight, by region and franchisee.
+    fn attempt_counts(&self) -> BTreeMap<CountOwner, usize> {
         let mut counts = BTreeMap::new();
         for request in self.requests.values() {
-            for out in &request.out {
-                *counts.entry(CountOwner::Region(out.task.region.clone())).or_default() += 1;
+            for attempt in &request.in_flight {
+                *counts.entry(CountOwner::Region(attempt.task.region.clone())).or_default() += 1;
                 *counts.entry(CountOwner::Franchisee(request.franchisee)).or_default() += 1;
             }
         }
         counts
     }
 
-    /// Compares what is out with what the module believes to be out, and heals what differs: ends that were not told
-    /// are told, counts that still differ are put right. Returns what differed; always nothing, or there is a fault.
+    /// Compares the core's attempts in flight with the module's and repairs differences: it reports the ends that
+    /// were not reported and corrects the counts that still differ. Returns the differences; there are none unless
+    /// the program has a fault.
     pub fn audit(&mut self, now: f64) -> Vec<Difference> {
-        let found = differences(&self.out(), &self.facade.attempt_counts());
+        let found = differences(&self.attempt_counts(), &self.facade.attempt_counts());
         if found.is_empty() {
             return found;
         }
         for (key, attempt, region) in self.facade.attempts_in_flight() {
             let entry = self.requests.get(&key);
-            let known = entry.is_some_and(|entry| entry.out.iter().any(|out| out.task.attempt == attempt));
-            if !known {
+            let in_flight =
+                entry.is_some_and(|entry| entry.in_flight.iter().any(|other| other.task.attempt == attempt));
+            if !in_flight {
                 let closed = entry.is_none_or(|entry| entry.content.is_none());
                 let task = RoutedTask { request: key, attempt, region, limit_ms: 0.0 };
-                let out = Out { task, sent: now, until: now };
-                self.settle(now, key, out, Outcome::Canceled, 0.0, closed);
+                let ended = Attempt { task, sent_at: now, expires_at: now };
+                self.report_end(now, key, ended, Outcome::Canceled, 0.0, closed);
             }
         }
-        for rest in differences(&self.out(), &self.facade.attempt_counts()) {
-            self.facade.correct_count(&rest.owner, rest.out);
+        for difference in differences(&self.attempt_counts(), &self.facade.attempt_counts()) {
+            self.facade.correct_count(&difference.owner, difference.out);
         }
         found
     }
 
-    /// Takes a request in under a number of its own; the clock of its patience began `age_ms` ago.
+    /// Accepts a request under the unused number `key`; its time-out started to run `age_ms` ago.
     pub fn arrive(
         &mut self,
         now: f64,
@@ -165,9 +169,9 @@
         let deadline = now + intake.timeout_ms;
         let wake = deadline.ceil() as u64;
         self.wakes.insert((wake, key));
-        let copies = self.facade.copies(&intake);
-        let (content, out, franchisee) = (Some(content), Vec::new(), intake.customer);
-        let request = Request { content, deadline, out, franchisee, copies, wake };
+        let may_hedge = self.facade.copies(&intake);
+        let (content, in_flight, franchisee) = (Some(content), Vec::new(), intake.customer);
+        let request = Request { content, deadline, in_flight, franchisee, may_hedge, wake };
         self.requests.insert(key, request);
         if let Some(tap) = self.facade.tap() {
             let content = self.requests.get(&key).and_then(|entry| entry.content.as_ref());
@@ -178,7 +182,7 @@
         self.carry_out(now, verdicts);
     }
 
-    /// An attempt ended by itself.
+    /// An attempt ended without being canceled by the core.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -189,25 +193,25 @@
         served: Option<P::Served>,
     ) {
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        // Guards against news of an attempt that was given up meanwhile.
-        let Some(out) = entry.take_out(attempt) else { return };
+        // The attempt may have been canceled before its end was reported.
+        let Some(ended) = entry.remove_attempt(attempt) else { return };
         let content = served.is_some().then(|| entry.content.take()).flatten();
         let closed = entry.content.is_none();
         if let (Some(content), Some(served)) = (content, served) {
-            self.ending(now, request, Ending::Served(P::status(&served)));
+            self.tap_ending(now, request, Ending::Served(P::status(&served)));
             self.ports.answer(content, Answer::Served(served));
         }
-        self.settle(now, request, out, outcome, settled, closed);
+        self.report_end(now, request, ended, outcome, settled, closed);
     }
 
-    /// The client has gone. The attempt that is out goes on: its answer tells the true units.
+    /// The client has left. Attempts in flight continue, because their answers state the actual units.
     pub fn client_left(&mut self, now: f64, request: RequestKey) {
         let Some(entry) = self.requests.get_mut(&request) else { return };
         if entry.content.take().is_none() {
             return;
         }
         let verdicts = self.facade.report(now, Report::ClientLeft(request));
-        self.tidy(request);
+        self.remove_if_done(request);
         self.carry_out(now, verdicts);
     }
 
@@ -223,16 +227,16 @@
         self.carry_out(now, verdicts);
     }
 
-    /// Lets time pass: attempts and requests that are overdue end, and the module gets its tick.
+    /// Advances time: ends overdue attempts and requests, and ticks the module.
     pub fn tick(&mut self, now: f64) {
         while let Some((_, key)) = self.wakes.first().copied().filter(|(wake, _)| now >= *wake as f64) {
-            self.overdue(now, key);
+            self.expire(now, key);
         }
         let verdicts = self.facade.tick(now);
         self.carry_out(now, verdicts);
     }
 
-    /// When [`Core::tick`] is next of use, ms.
+    /// Time at which [`Core::tick`] is next needed, ms.
     pub fn next_tick(&self) -> Option<f64> {
         let wake = self.wakes.first().map(|(wake, _)| *wake as f64);
         match (wake, self.facade.next_tick()) {
@@ -241,73 +245,73 @@
         }
     }
 
-    /// Takes new figures; requests under way keep the deadline and class that they came with. See
+    /// Applies new settings; open requests keep the deadline and class that they arrived with. See
     /// [`Facade::update_settings`].
     pub fn update_settings(&mut self, now: f64, settings: Settings, from: f64, epoch: u64) {
         self.facade.update_settings(now, settings, from, epoch);
     }
 
-    /// Sets or takes away who sees what goes into the module and comes out of it.
+    /// Sets or removes the tap, which observes the inputs and verdicts of the module.
     pub fn set_tap(&mut self, tap: Option<Box<dyn Tap>>) {
         self.facade.set_tap(tap);
     }
 
-    /// The module thinks the fleet short.
+    /// Whether the module sheds load because the fleet lacks capacity.
     pub fn is_shedding(&self) -> bool {
         self.facade.is_shedding()
     }
 
-    /// The program stops: unused leases go back to the counter.
+    /// Stops the module: unused leases go back to the counter.
     pub fn shut_down(&mut self, now: f64) {
         let verdicts = self.facade.shut_down(now);
         self.carry_out(now, verdicts);
     }
 
-    /// A fault put in on purpose: what this request has out is forgotten, and the module not told.
+    /// Injects a fault: drops the request's attempts in flight without reporting their ends to the module.
     #[cfg(test)]
-    pub(crate) fn forget_out(&mut self, key: RequestKey) {
-        self.requests.get_mut(&key).into_iter().for_each(|entry| entry.out.clear());
+    pub(crate) fn drop_attempts(&mut self, key: RequestKey) {
+        self.requests.get_mut(&key).into_iter().for_each(|entry| entry.in_flight.clear());
     }
 
-    fn overdue(&mut self, now: f64, key: RequestKey) {
+    fn expire(&mut self, now: f64, key: RequestKey) {
         let Some(entry) = self.requests.get_mut(&key) else {
             self.wakes.retain(|(_, other)| *other != key);
             return;
         };
-        if let Some(out) = entry.take_due(now) {
+        if let Some(expired) = entry.remove_expired(now) {
             let closed = entry.content.is_none();
-            self.ports.cancel_attempt(key, out.task.attempt, Outcome::TimedOut);
-            self.settle(now, key, out, Outcome::TimedOut, 0.0, closed);
-            // Its wake stands until nothing of it is due: another attempt may be.
-            return self.rewake(key);
+            self.ports.cancel_attempt(key, expired.task.attempt, Outcome::TimedOut);
+            self.report_end(now, key, expired, Outcome::TimedOut, 0.0, closed);
+            // Another attempt may be due too; then the wake time stays in the past, and `tick` calls again.
+            return self.update_wake(key);
         }
         if now < entry.deadline {
-            return self.rewake(key);
+            return self.update_wake(key);
         }
-        // Whatever the module still ponders, the client is owed its one answer now.
+        // The client gets its final answer now, even if the module has not decided yet.
         if let Some(content) = self.requests.get_mut(&key).and_then(|entry| entry.content.take()) {
-            self.ending(now, key, Ending::Failed);
+            self.tap_ending(now, key, Ending::Failed);
             self.ports.answer(content, Answer::Failed);
             let verdicts = self.facade.report(now, Report::ClientLeft(key));
             self.carry_out(now, verdicts);
         }
-        self.forget(key);
+        self.remove(key);
     }
 
-    fn settle(
+    fn report_end(
         &mut self,
         now: f64,
         request: RequestKey,
-        out: Out,
+        ended: Attempt,
         outcome: Outcome,
         settled: f64,
         closed: bool,
     ) {
-        let (latency_ms, task) = (now - out.sent, out.task);
+        let (latency_ms, task) = (now - ended.sent_at, ended.task);
         let (attempt, region) = (task.attempt, task.region);
         let report = Report::Ended { request, attempt, region, outcome, settled, latency_ms, closed };
         let verdicts = self.facade.report(now, report);
-        self.tidy(request);
+        self.remove_if_done(request);
         self.carry_out(now, verdicts);
     }
 
@@ -324,10 +328,10 @@
                 Verdict::Fail(request) => self.answer(now, request, Answer::Failed, Ending::Failed),
                 Verdict::CancelAttempt(request, attempt) => {
                     let Some(entry) = self.requests.get_mut(&request) else { continue };
-                    let Some(out) = entry.take_out(attempt) else { continue };
+                    let Some(canceled) = entry.remove_attempt(attempt) else { continue };
                     let closed = entry.content.is_none();
                     self.ports.cancel_attempt(request, attempt, Outcome::Canceled);
-                    self.settle(now, request, out, Outcome::Canceled, 0.0, closed);
+                    self.report_end(now, request, canceled, Outcome::Canceled, 0.0, closed);
                 }
                 Verdict::IncrementCounter(name, amount, life_ms) => {
                     self.ports.increment_counter(name, amount, life_ms)
@@ -340,26 +344,26 @@
 
     fn route(&mut self, now: f64, task: RoutedTask) {
         let key = task.request;
-        let copies = self.facade.hedging_enabled();
-        let (closed, fit) = self.requests.get(&key).map_or((true, false), |entry| {
-            let room = entry.out.is_empty() || (entry.copies && copies);
+        let hedging = self.facade.hedging_enabled();
+        let (closed, can_send) = self.requests.get(&key).map_or((true, false), |entry| {
+            let room = entry.in_flight.is_empty() || (entry.may_hedge && hedging);
             (entry.content.is_none(), entry.content.is_some() && now < entry.deadline && room)
         });
-        if !fit {
-            // What does not go out is told as well: the module's book of what is out would never empty.
-            let out = Out { task, sent: now, until: now };
-            return self.settle(now, key, out, Outcome::NotSent, 0.0, closed);
+        if !can_send {
+            // An attempt that is not sent is reported too; otherwise the module would count it as in flight forever.
+            let ended = Attempt { task, sent_at: now, expires_at: now };
+            return self.report_end(now, key, ended, Outcome::NotSent, 0.0, closed);
         }
         let Some(entry) = self.requests.get_mut(&key) else { return };
         let Some(content) = entry.content.as_ref() else { return };
-        let until =
+        let expires_at =
             if task.limit_ms > 0.0 { entry.deadline.min(now + task.limit_ms) } else { entry.deadline };
-        self.ports.route(&task, content, (until - now).max(0.0));
-        entry.out.push(Out { task, sent: now, until });
-        self.rewake(key);
+        self.ports.route(&task, content, (expires_at - now).max(0.0));
+        entry.in_flight.push(Attempt { task, sent_at: now, expires_at });
+        self.update_wake(key);
     }
 
-    fn ending(&mut self, now: f64, request: RequestKey, ending: Ending) {
+    fn tap_ending(&mut self, now: f64, request: RequestKey, ending: Ending) {
         if let Some(tap) = self.facade.tap() {
             tap.answered(now, request, ending);
         }
@@ -367,28 +371,29 @@
 
     fn answer(&mut self, now: f64, request: RequestKey, answer: Answer<P::Served>, ending: Ending) {
         if let Some(content) = self.requests.get_mut(&request).and_then(|entry| entry.content.take()) {
-            self.ending(now, request, ending);
+            self.tap_ending(now, request, ending);
             self.ports.answer(content, answer);
         }
-        self.tidy(request);
+        self.remove_if_done(request);
     }
 
-    /// Forgets a request that has its answer and no attempt out.
-    fn tidy(&mut self, key: RequestKey) {
-        if self.requests.get(&key).is_some_and(|entry| entry.content.is_none() && entry.out.is_empty()) {
-            self.forget(key);
+    /// Removes a request that needs no answer any more and has no attempt in flight.
+    fn remove_if_done(&mut self, key: RequestKey) {
+        if self.requests.get(&key).is_some_and(|entry| entry.content.is_none() && entry.in_flight.is_empty())
+        {
+            self.remove(key);
         }
     }
 
-    fn forget(&mut self, key: RequestKey) {
+    fn remove(&mut self, key: RequestKey) {
         if let Some(entry) = self.requests.remove(&key) {
             self.wakes.remove(&(entry.wake, key));
         }
     }
 
-    fn rewake(&mut self, key: RequestKey) {
+    fn update_wake(&mut self, key: RequestKey) {
         let Some(entry) = self.requests.get_mut(&key) else { return };
-        let due = entry.out.iter().fold(entry.deadline, |due, out| due.min(out.until));
+        let due = entry.in_flight.iter().fold(entry.deadline, |due, attempt| due.min(attempt.expires_at));
         let wake = due.ceil() as u64;
         if wake != entry.wake {
             self.wakes.remove(&(entry.wake, key));
@@ -403,7 +408,7 @@
     use super::*;
     use crate::facade::{Class, DedupScope, Plan, RegionEntry, RegionState, RetrySafety};
 
-    /// Writes down what the core wants; an answer takes the request's content with it.
+    /// Records the calls of the core.
     #[derive(Default)]
     struct Log(Vec<String>);
 
@@ -433,12 +438,12 @@
         fn close_idle(&mut self, _: &str) {}
     }
 
-    fn core(repeat: RetrySafety) -> Core<Log> {
+    fn core(retry_safety: RetrySafety) -> Core<Log> {
         let class = Class {
             name: "c".into(),
             target_latency_ms: 400.0,
             client_timeout_ms: 1_000.0,
-            retry_safety: repeat,
+            retry_safety,
             dedup_scope: DedupScope::All,
             key_ttl_ms: 1_000.0,
             late_share: 0.0,
@@ -480,7 +485,7 @@
     }
 
     #[test]
-    fn one_answer_whatever_comes_twice() {
+    fn a_request_is_answered_once_despite_duplicate_events() {
         let mut core = core(RetrySafety::Idempotent);
         arrive(&mut core);
         core.attempt_ended(1_050.0, 7, 0, Outcome::Served, 1.0, Some("fine"));
@@ -492,30 +497,30 @@
     }
 
     #[test]
-    fn a_client_that_left_gets_nothing_and_its_attempt_is_still_accounted_for() {
+    fn a_client_that_left_gets_no_answer_and_its_attempt_is_tracked_to_its_end() {
         let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
         core.client_left(1_010.0, 7);
-        assert_eq!(core.requests.len(), 1, "the attempt is out");
+        assert_eq!(core.requests.len(), 1, "the attempt is still in flight");
         core.attempt_ended(1_050.0, 7, 0, Outcome::Served, 1.0, Some("fine"));
         assert_eq!(core.ports().0, ["route x 0 980"]);
         assert_eq!((core.requests.len(), core.wakes.len()), (0, 0));
     }
 
     #[test]
-    fn an_attempt_is_closed_before_the_next_and_the_deadline_answers() {
+    fn the_deadline_cancels_the_attempt_and_fails_the_request() {
         let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
         core.tick(1_979.0);
-        assert_eq!(core.ports().0.len(), 1, "not yet");
+        assert_eq!(core.ports().0.len(), 1, "nothing happens before the deadline");
         core.tick(1_980.0);
         assert_eq!(core.ports().0, ["route x 0 980", "give up 7 0 TimedOut", "answer x failed"]);
         core.attempt_ended(1_981.0, 7, 0, Outcome::Served, 1.0, Some("late"));
-        assert_eq!(core.ports().0.len(), 3, "news of a closed attempt");
+        assert_eq!(core.ports().0.len(), 3, "the end of a canceled attempt is ignored");
     }
 
     #[test]
-    fn what_never_ran_goes_out_again_and_what_may_have_run_does_not() {
+    fn only_attempts_that_never_ran_are_retried() {
         let mut core = core(RetrySafety::AtMostOnce);
         arrive(&mut core);
         core.attempt_ended(1_010.0, 7, 0, Outcome::CouldNotConnect, 0.0, None);
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -281,7 +281,7 @@
     // A safe request of the free plan, franchisee 0.
     world.arrive(6);
     let (key, region) = (world.last, world.core.ports().tasks[&(1, 0)].clone());
-    world.core.forget_out(key);
+    world.core.drop_attempts(key);
     world.core.ports().out.clear();
     let lost = |owner| Difference { owner, out: 0, believed: 1 };
     let found = world.core.audit(world.now);
