--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -410,10 +410,14 @@
 
     /// The module's counts of attempts in flight.
     pub(crate) fn attempt_counts(&self) -> BTreeMap<CountOwner, usize> {
-        let regions =
-            self.limiter.attempts_by_server().map(|(uid, out)| (CountOwner::Region(uid.to_string()), out));
-        let customers =
-            self.limiter.attempts_by_customer().map(|(number, out)| (CountOwner::Franchisee(number), out));
+        let regions = self
+            .limiter
+            .attempts_by_server()
+            .map(|(uid, count)| (CountOwner::Region(uid.to_string()), count));
+        let customers = self
+            .limiter
+            .attempts_by_customer()
+            .map(|(number, count)| (CountOwner::Franchisee(number), count));
         regions.chain(customers).collect()
     }
 
@@ -424,10 +428,10 @@
     }
 
     /// Corrects one of the module's counts.
-    pub(crate) fn correct_count(&mut self, owner: &CountOwner, out: usize) {
+    pub(crate) fn correct_count(&mut self, owner: &CountOwner, count: usize) {
         match owner {
-            CountOwner::Region(uid) => self.limiter.set_attempts_at_server(uid, out),
-            CountOwner::Franchisee(number) => self.limiter.set_attempts_of_customer(*number, out),
+            CountOwner::Region(uid) => self.limiter.set_attempts_at_server(uid, count),
+            CountOwner::Franchisee(number) => self.limiter.set_attempts_of_customer(*number, count),
         }
     }
 
@@ -437,7 +441,7 @@
     }
 
     /// Whether hedging is enabled and this request may be hedged: its class repeats safely or by key.
-    pub fn copies(&self, intake: &Intake) -> bool {
+    pub fn allows_hedging(&self, intake: &Intake) -> bool {
         let repeats =
             |class: &Class| class.name == intake.class && class.retry_safety != RetrySafety::AtMostOnce;
         self.hedging_enabled() && !intake.never_twice && self.classes.iter().any(repeats)
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -26,18 +26,18 @@
 
 /// Returns the counts that differ. An owner that is missing on one side counts as 0 there.
 pub(crate) fn differences(
-    out: &BTreeMap<CountOwner, usize>,
-    believed: &BTreeMap<CountOwner, usize>,
+    in_core: &BTreeMap<CountOwner, usize>,
+    in_module: &BTreeMap<CountOwner, usize>,
 ) -> Vec<Difference> {
     let count_of = |counts: &BTreeMap<CountOwner, usize>, owner: &CountOwner| {
         counts.get(owner).copied().unwrap_or_default()
     };
-    let only_believed = believed.keys().filter(|owner| !out.contains_key(owner));
-    (out.keys().chain(only_believed))
+    let only_in_module = in_module.keys().filter(|owner| !in_core.contains_key(owner));
+    (in_core.keys().chain(only_in_module))
         .map(|owner| Difference {
             owner: owner.clone(),
-            out: count_of(out, owner),
-            believed: count_of(believed, owner),
+            out: count_of(in_core, owner),
+            believed: count_of(in_module, owner),
         })
         .filter(|difference| difference.out != difference.believed)
         .collect()
--- a/crates/core/src/life.rs
+++ b/crates/core/src/life.rs
@@ -135,9 +135,9 @@
     /// were not reported and corrects the counts that still differ. Returns the differences; there are none unless
     /// the program has a fault.
     pub fn audit(&mut self, now: f64) -> Vec<Difference> {
-        let found = differences(&self.attempt_counts(), &self.facade.attempt_counts());
-        if found.is_empty() {
-            return found;
+        let differing = differences(&self.attempt_counts(), &self.facade.attempt_counts());
+        if differing.is_empty() {
+            return differing;
         }
         for (key, attempt, region) in self.facade.attempts_in_flight() {
             let entry = self.requests.get(&key);
@@ -153,7 +153,7 @@
         for difference in differences(&self.attempt_counts(), &self.facade.attempt_counts()) {
             self.facade.correct_count(&difference.owner, difference.out);
         }
-        found
+        differing
     }
 
     /// Accepts a request under the unused number `key`; its time-out started to run `age_ms` ago.
@@ -169,7 +169,7 @@
         let deadline = now + intake.timeout_ms;
         let wake = deadline.ceil() as u64;
         self.wakes.insert((wake, key));
-        let may_hedge = self.facade.copies(&intake);
+        let may_hedge = self.facade.allows_hedging(&intake);
         let (content, in_flight, franchisee) = (Some(content), Vec::new(), intake.customer);
         let request = Request { content, deadline, in_flight, franchisee, may_hedge, wake };
         self.requests.insert(key, request);
