--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -1,40 +1,43 @@
-//! The check of two books: the attempts that the core has out against those that the module believes to be out. They are
-//! equal between any two calls, or an end was not told: then servers look silent that are not, and are used no more.
+//! Compares the core's counts of attempts in flight with the decision module's. Between any two calls they are
+//! equal, unless the end of an attempt was not reported. The module then takes healthy servers for silent ones
+//! and stops using them.
 
 use std::collections::BTreeMap;
 
-/// Of whom two counts differ.
+/// The region or franchisee whose attempts are counted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Whose {
-    /// Of a region, by its uid.
+pub enum CountOwner {
+    /// A region, by its uid.
     Region(String),
-    /// Of a franchisee.
+    /// A franchisee, by its number.
     Franchisee(u64),
 }
 
-/// Two counts of attempts out that should be equal.
+/// Two counts of attempts in flight that should be equal but differ.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
-    /// Of whom.
-    pub whose: Whose,
-    /// What the core has out.
+    /// The region or franchisee.
+    pub owner: CountOwner,
+    /// Attempts in flight according to the core.
     pub out: usize,
-    /// What the module believed.
+    /// Attempts in flight according to the decision module.
     pub believed: usize,
 }
 
-/// The counts that differ; what is in one book alone counts as 0 in the other.
+/// Returns the counts that differ. An owner that is missing on one side counts as 0 there.
 pub(crate) fn differences(
-    out: &BTreeMap<Whose, usize>,
-    believed: &BTreeMap<Whose, usize>,
+    in_core: &BTreeMap<CountOwner, usize>,
+    in_module: &BTreeMap<CountOwner, usize>,
 ) -> Vec<Difference> {
-    let count = |book: &BTreeMap<Whose, usize>, whose: &Whose| book.get(whose).copied().unwrap_or_default();
-    let only_believed = believed.keys().filter(|whose| !out.contains_key(whose));
-    (out.keys().chain(only_believed))
-        .map(|whose| Difference {
-            whose: whose.clone(),
-            out: count(out, whose),
-            believed: count(believed, whose),
+    let count_of = |counts: &BTreeMap<CountOwner, usize>, owner: &CountOwner| {
+        counts.get(owner).copied().unwrap_or_default()
+    };
+    let only_in_module = in_module.keys().filter(|owner| !in_core.contains_key(owner));
+    (in_core.keys().chain(only_in_module))
+        .map(|owner| Difference {
+            owner: owner.clone(),
+            out: count_of(in_core, owner),
+            believed: count_of(in_module, owner),
         })
         .filter(|difference| difference.out != difference.believed)
         .collect()
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -74,7 +74,10 @@
         .iter()
         .map(|server| ready_entry(server, &gateway, weight(server).expect("allowed")))
         .collect();
-    facade.report(0.0, Report::Table { table: ServiceTable { rev: 1, all: true, regions }, saved: false });
+    facade.report(
+        0.0,
+        Report::ServiceTable { table: ServiceTable { rev: 1, all: true, regions }, saved: false },
+    );
     facade
 }
 
@@ -133,9 +136,9 @@
                     never_twice: false,
                     plan: String::new(),
                     customer: 0,
-                    patience_ms: 2.5 * self.scenario.target_latency_ms,
+                    timeout_ms: 2.5 * self.scenario.target_latency_ms,
                     units: 1.0,
-                    doors: 1,
+                    gateways: 1,
                     retry: false,
                 };
                 let verdicts = self.gateways[gateway].pick(now_ms, request, &intake);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -358,7 +358,7 @@
         let (inbox, tally) = (inbox.clone(), tally.clone());
         Rc::new(move |name: String, reply| {
             if let Some(tally) = &tally {
-                let late = matches!(reply, CounterReply::Late(_) | CounterReply::Never);
+                let late = matches!(reply, CounterReply::Late(_) | CounterReply::Unresolved);
                 if !late {
                     tally.counted(clock.now(), matches!(reply, CounterReply::Total(_)));
                 }
@@ -392,7 +392,7 @@
     }
     regions.follow(&config.known);
     let (rev, listed) = (config.known.rev, !config.known.regions.is_empty());
-    core.table(wheel.now(), config.known.clone(), true);
+    core.update_service_table(wheel.now(), config.known.clone(), true);
     let mut deciding = spawn_local(hub::run(core, inputs, wheel.clone()));
     spawn_local(regions.reap());
 
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -231,9 +231,9 @@
                 self.put_name(to, &intake.plan);
                 to.push(u8::from(intake.never_twice) | u8::from(intake.retry) << 1);
                 to.whole(intake.customer);
-                to.real(intake.patience_ms);
+                to.real(intake.timeout_ms);
                 to.real(intake.units);
-                to.whole(intake.doors as u64);
+                to.whole(intake.gateways as u64);
             }
             Event::Ended { request, attempt, region, outcome, settled, latency_ms, closed } => {
                 self.put_request(to, *request);
@@ -258,7 +258,7 @@
                         to.push(4);
                         to.real(*total);
                     }
-                    CounterReply::Never => to.push(5),
+                    CounterReply::Unresolved => to.push(5),
                 }
             }
             Event::Table { table, saved } => {
@@ -275,15 +275,15 @@
                         RegionState::Gone => 2,
                     };
                     // The nearest say no more than files of before there was anything else.
-                    to.push(state | u8::from(entry.near > 0) << 2 | u8::from(entry.order != 0.0) << 3);
-                    if entry.near > 0 {
-                        to.push(entry.near);
+                    to.push(state | u8::from(entry.distance > 0) << 2 | u8::from(entry.rank != 0.0) << 3);
+                    if entry.distance > 0 {
+                        to.push(entry.distance);
                     }
                     to.whole(entry.pod_group);
                     to.real(entry.weight);
                     to.real(entry.boot_ms);
-                    if entry.order != 0.0 {
-                        to.real(entry.order);
+                    if entry.rank != 0.0 {
+                        to.real(entry.rank);
                     }
                 }
             }
@@ -354,9 +354,9 @@
                     never_twice: flags & 1 != 0,
                     retry: flags & 2 != 0,
                     customer: from.whole()?,
-                    patience_ms: from.real()?,
+                    timeout_ms: from.real()?,
                     units: from.real()?,
-                    doors: usize::try_from(from.whole()?).ok()?,
+                    gateways: usize::try_from(from.whole()?).ok()?,
                 };
                 Event::Taken { request, id, key, intake }
             }
@@ -378,7 +378,7 @@
                     2 => CounterReply::CouldNotConnect,
                     3 => CounterReply::TimedOut,
                     4 => CounterReply::Late(from.real()?),
-                    5 => CounterReply::Never,
+                    5 => CounterReply::Unresolved,
                     _ => return None,
                 };
                 Event::Counted(name, reply)
@@ -408,8 +408,8 @@
                         pod_group,
                         weight,
                         boot_ms,
-                        near,
-                        order,
+                        distance: near,
+                        rank: order,
                     });
                 }
                 let table = ServiceTable { rev, all: flags & 2 != 0, regions };
@@ -478,12 +478,12 @@
     match outcome {
         Outcome::Served => 0,
         Outcome::Error => 1,
-        Outcome::TurnedAway => 2,
+        Outcome::Rejected => 2,
         Outcome::CouldNotConnect => 3,
         Outcome::Reset => 4,
-        Outcome::Spoilt => 5,
+        Outcome::Unreadable => 5,
         Outcome::TimedOut => 6,
-        Outcome::CalledOff => 7,
+        Outcome::Canceled => 7,
         Outcome::NotSent => 8,
     }
 }
@@ -492,12 +492,12 @@
     Some(match code {
         0 => Outcome::Served,
         1 => Outcome::Error,
-        2 => Outcome::TurnedAway,
+        2 => Outcome::Rejected,
         3 => Outcome::CouldNotConnect,
         4 => Outcome::Reset,
-        5 => Outcome::Spoilt,
+        5 => Outcome::Unreadable,
         6 => Outcome::TimedOut,
-        7 => Outcome::CalledOff,
+        7 => Outcome::Canceled,
         8 => Outcome::NotSent,
         _ => return None,
     })
