--- a/crates/decide/tests/module/quota.rs
+++ b/crates/decide/tests/module/quota.rs
@@ -17,7 +17,7 @@
 fn fetch_above_the_capacity_is_returned_and_the_request_refused() {
     let mut rig = Rig::new(settings(), 3);
     let (name, add) = counts(&rig.request("a", "safe", "soft")).remove(0);
-    // Far more than a window of 30 s can refill.
+    // At most 300 units are refilled in a window of 30 s: this total is above any allowance.
     let out = rig.counted(&name, Status::Ok, 100_000.0 + add);
     assert!(sends(&out).is_empty());
     assert!(out
